--- a/packages/turnford-fleet/src/crash_news.rs
+++ b/packages/turnford-fleet/src/crash_news.rs
@@ -1,6 +1,6 @@
 //! What nodes tell each other of requests under which targets crashed.
 
-use turnford_policy::TargetBirth;
+use turnford_policy::ProcessStart;
 use turnford_policy::DIGEST_BYTES;
 
 /// Points of a crash on trial.
@@ -11,7 +11,7 @@
 const QUEUED_POINTS: u32 = 1;
 
 /// Start of a target, which is what crashes.
-pub type TargetStart = (String, TargetBirth);
+pub type TargetStart = (String, ProcessStart);
 
 /// What one node tells another about a request.
 #[derive(
--- a/packages/turnford-fleet/src/limit_divider.rs
+++ b/packages/turnford-fleet/src/limit_divider.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use turnford_policy::CallRate;
-use turnford_policy::HeardWord;
+use turnford_policy::LimitObservation;
 use turnford_policy::LimitState;
-use turnford_policy::TargetBirth;
+use turnford_policy::ProcessStart;
 use turnford_policy::TargetId;
 
 use crate::limit_bucket::LimitBucket;
@@ -49,7 +49,7 @@
     /// The target's id.
     pub target: String,
     /// Start of its process, in milliseconds of the time of day; 0 where it does not tell.
-    pub born: TargetBirth,
+    pub born: ProcessStart,
     /// Number of this word; it rises within a term.
     pub sequence: u64,
     /// What holds.
@@ -59,7 +59,7 @@
 /// One target.
 #[derive(Clone, Debug)]
 struct DividedTarget {
-    born: TargetBirth,
+    born: ProcessStart,
     record: LimitRecord,
     bucket: LimitBucket,
     /// What was told last.
@@ -93,7 +93,7 @@
 
     /// Takes what a node that asks knows of a target's limit, where nothing was heard of it here. A node that
     /// begins to divide may have missed it.
-    pub fn adopt(&mut self, now: Moment, target: &TargetId, born: TargetBirth, state: LimitState) {
+    pub fn adopt(&mut self, now: Moment, target: &TargetId, born: ProcessStart, state: LimitState) {
         let known = self.targets.get(target);
         let is_known = known.is_some_and(|known| known.born == born);
         if is_known || !state.needs_permit() {
@@ -114,13 +114,13 @@
         &mut self,
         now: Moment,
         target: &TargetId,
-        born: TargetBirth,
-        heard: HeardWord,
+        born: ProcessStart,
+        heard: LimitObservation,
     ) {
         let known = self.targets.get(target);
         let is_known = known.is_some_and(|known| known.born == born);
         if !is_known {
-            if heard.word.rate().is_none() {
+            if heard.signal.rate().is_none() {
                 return;
             }
             // Whoever sent calls until now had no permit.
@@ -133,7 +133,7 @@
         self.advance(now, target);
     }
 
-    fn insert(&mut self, now: Moment, target: &TargetId, born: TargetBirth, record: LimitRecord) {
+    fn insert(&mut self, now: Moment, target: &TargetId, born: ProcessStart, record: LimitRecord) {
         let divided = DividedTarget {
             born,
             record,
@@ -147,7 +147,7 @@
     }
 
     /// Forgets targets that are gone or started again.
-    pub fn keep_only(&mut self, is_there: impl Fn(&TargetId, TargetBirth) -> bool) {
+    pub fn keep_only(&mut self, is_there: impl Fn(&TargetId, ProcessStart) -> bool) {
         self.targets
             .retain(|target, divided| is_there(target, divided.born));
     }
--- a/packages/turnford-fleet/src/limit_division.rs
+++ b/packages/turnford-fleet/src/limit_division.rs
@@ -5,7 +5,7 @@
 //! term stops.
 
 use turnford_policy::LimitState;
-use turnford_policy::TargetBirth;
+use turnford_policy::ProcessStart;
 use turnford_policy::TargetId;
 
 use crate::DividerId;
@@ -85,7 +85,7 @@
         now: Moment,
         asked: Option<&LimitTerm>,
         sight: impl FnOnce(&DividerId) -> HolderSight,
-        known: impl Iterator<Item = (&'a TargetId, TargetBirth, LimitState)>,
+        known: impl Iterator<Item = (&'a TargetId, ProcessStart, LimitState)>,
     ) -> DivisionRole {
         if let Some(asked) = asked {
             self.note_term(asked);
@@ -115,7 +115,7 @@
     fn begin<'a>(
         &mut self,
         now: Moment,
-        known: impl Iterator<Item = (&'a TargetId, TargetBirth, LimitState)>,
+        known: impl Iterator<Item = (&'a TargetId, ProcessStart, LimitState)>,
     ) {
         let number = self.term.as_ref().map_or(0, |term| term.number) + 1;
         self.term = Some(LimitTerm {
--- a/packages/turnford-fleet/src/limit_record.rs
+++ b/packages/turnford-fleet/src/limit_record.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use turnford_policy::CallRate;
-use turnford_policy::HeardWord;
+use turnford_policy::LimitObservation;
+use turnford_policy::LimitSignal;
 use turnford_policy::LimitState;
-use turnford_policy::LimitWord;
 
 use crate::Moment;
 
@@ -29,62 +29,63 @@
 /// What is known of one target's limit.
 #[derive(Clone, Debug)]
 pub(crate) struct LimitRecord {
-    current: HeardWord,
+    current: LimitObservation,
     end: Option<LimitEnd>,
 }
 
 impl LimitRecord {
     /// Starts with a target's word, or with what an earlier divider said.
-    pub(crate) fn new(now: Moment, state: LimitState, heard: Moment) -> Self {
-        let (word, end) = match state {
-            LimitState::Limited(rate) => (LimitWord::Rate(rate), None),
-            LimitState::Free => (LimitWord::Unlimited, None),
+    pub(crate) fn new(now: Moment, state: LimitState, received_at: Moment) -> Self {
+        let (signal, end) = match state {
+            LimitState::Limited(rate) => (LimitSignal::Rate(rate), None),
+            LimitState::Free => (LimitSignal::Unlimited, None),
             LimitState::Easing => {
                 let end = LimitEnd {
                     at: now,
                     rate: LEAST_EASE,
                 };
-                (LimitWord::Unlimited, Some(end))
+                (LimitSignal::Unlimited, Some(end))
             }
         };
-        let current = HeardWord {
-            word,
-            sent: heard,
-            heard,
+        let current = LimitObservation {
+            signal,
+            sent_at: received_at,
+            received_at,
         };
         Self { current, end }
     }
 
     /// Takes a word. One that is surely older changes nothing; of two that may have crossed, the stricter
     /// holds until a later one comes.
-    pub(crate) fn note(&mut self, now: Moment, heard: HeardWord) {
+    pub(crate) fn note(&mut self, now: Moment, heard: LimitObservation) {
         let current = self.current;
-        if heard.heard <= current.sent && heard.word != current.word {
+        if heard.received_at <= current.sent_at && heard.signal != current.signal {
             return;
         }
-        let is_newer = heard.sent >= current.heard;
-        if !is_newer && heard.word != current.word && !heard.word.is_stricter(current.word) {
+        let is_newer = heard.sent_at >= current.received_at;
+        if !is_newer && heard.signal != current.signal && !heard.signal.is_stricter(current.signal)
+        {
             return;
         }
-        self.current = HeardWord {
-            word: heard.word,
-            sent: heard.sent.max(current.sent),
-            heard: heard.heard.max(current.heard),
+        self.current = LimitObservation {
+            signal: heard.signal,
+            sent_at: heard.sent_at.max(current.sent_at),
+            received_at: heard.received_at.max(current.received_at),
         };
-        match (current.word, heard.word) {
-            (LimitWord::Rate(rate), LimitWord::Unlimited) => {
+        match (current.signal, heard.signal) {
+            (LimitSignal::Rate(rate), LimitSignal::Unlimited) => {
                 let rate = rate.max(LEAST_EASE);
                 self.end = Some(LimitEnd { at: now, rate });
             }
-            (_, LimitWord::Rate(_)) => self.end = None,
+            (_, LimitSignal::Rate(_)) => self.end = None,
             _ => {}
         }
     }
 
     /// Returns what holds now.
     pub(crate) fn state(&self, now: Moment) -> LimitState {
-        match (self.current.word, self.end) {
-            (LimitWord::Rate(rate), _) => LimitState::Limited(rate),
+        match (self.current.signal, self.end) {
+            (LimitSignal::Rate(rate), _) => LimitState::Limited(rate),
             (_, Some(end)) if now.saturating_sub(end.at) < EASE_SPAN => LimitState::Easing,
             _ => LimitState::Free,
         }
@@ -93,8 +94,8 @@
     /// Returns the calls a second that may go there, `None` for any number.
     pub(crate) fn rate(&self, now: Moment) -> Option<CallRate> {
         let span = |end: LimitEnd| now.saturating_sub(end.at);
-        match (self.current.word, self.end) {
-            (LimitWord::Rate(rate), _) => Some(rate),
+        match (self.current.signal, self.end) {
+            (LimitSignal::Rate(rate), _) => Some(rate),
             (_, Some(end)) if span(end) < EASE_SPAN => {
                 let doublings = span(end).as_secs_f64() / EASE_DOUBLING.as_secs_f64();
                 Some(end.rate * doublings.exp2())
--- a/packages/turnford-fleet/src/turn_line.rs
+++ b/packages/turnford-fleet/src/turn_line.rs
@@ -5,7 +5,7 @@
 
 use turnford_policy::CallRate;
 use turnford_policy::ClassRank;
-use turnford_policy::LONGEST_RETURN;
+use turnford_policy::MAX_RETRY_AFTER;
 
 use crate::Moment;
 
@@ -205,8 +205,8 @@
     /// Returns when a request should come back that would be late by so much, each at another time.
     pub fn plan_return(&mut self, now: Moment, late: Duration, rate: CallRate) -> Duration {
         let back = now.saturating_add(late).max(self.next_return);
-        let longest = now + LONGEST_RETURN;
-        let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(LONGEST_RETURN);
+        let longest = now + MAX_RETRY_AFTER;
+        let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_RETRY_AFTER);
         self.next_return = back.saturating_add(step).min(longest);
         back.min(longest).saturating_sub(now)
     }
--- a/packages/turnford-fleet/tests/limit_division.rs
+++ b/packages/turnford-fleet/tests/limit_division.rs
@@ -24,10 +24,10 @@
 use turnford_fleet::LimitTerm;
 use turnford_fleet::PermitUse;
 use turnford_fleet::PERMIT_SPAN;
-use turnford_policy::HeardWord;
-use turnford_policy::LimitBoard;
+use turnford_policy::LimitObservation;
+use turnford_policy::LimitSignal;
 use turnford_policy::LimitState;
-use turnford_policy::LimitWord;
+use turnford_policy::LimitTable;
 use turnford_policy::Moment;
 use turnford_policy::TargetId;
 
@@ -63,7 +63,7 @@
     Answer(u64, Answer),
     News(LimitTerm, Vec<LimitEntry>),
     Sync(Option<LimitTerm>),
-    Heard(LimitWord, Duration, Duration, Option<LimitTerm>),
+    Heard(LimitSignal, Duration, Duration, Option<LimitTerm>),
     Alive,
     IsAlive,
 }
@@ -83,7 +83,7 @@
     Late(usize, u64, u64),
     Silent(usize, u64, usize, Moment),
     AtTarget(usize, Moment),
-    Answered(usize, u64, LimitWord, Moment),
+    Answered(usize, u64, LimitSignal, Moment),
     Tick(usize, u64),
     Fault,
     Start(usize),
@@ -104,7 +104,7 @@
     frozen_until: Moment,
     cut_until: Moment,
     division: LimitDivision,
-    board: LimitBoard,
+    board: LimitTable,
     down: BTreeMap<usize, Moment>,
     heard: BTreeMap<usize, Moment>,
     asked: BTreeMap<u64, Asked>,
@@ -168,7 +168,7 @@
                 frozen_until: Moment::ZERO,
                 cut_until: Moment::ZERO,
                 division: LimitDivision::new(id),
-                board: LimitBoard::default(),
+                board: LimitTable::default(),
                 down: BTreeMap::new(),
                 heard: BTreeMap::new(),
                 asked: BTreeMap::new(),
@@ -209,11 +209,11 @@
         }
     }
 
-    fn word(&self) -> LimitWord {
+    fn word(&self) -> LimitSignal {
         if self.now < NAMED_AT {
-            LimitWord::Unlimited
+            LimitSignal::Unlimited
         } else {
-            LimitWord::Rate(self.rate)
+            LimitSignal::Rate(self.rate)
         }
     }
 
@@ -284,7 +284,7 @@
         if !state.is_up || state.frozen_until > now {
             return;
         }
-        if self.nodes[node].board.enter(now, TARGET) {
+        if self.nodes[node].board.try_acquire(now, TARGET) {
             self.send_call(node);
         } else if self.nodes[node].is_denied_until <= now && self.nodes[node].asked.is_empty() {
             self.ask(node, 0);
@@ -306,36 +306,37 @@
         self.plan(work, event);
     }
 
-    fn answered(&mut self, node: usize, word: LimitWord, sent: Moment) {
+    fn answered(&mut self, node: usize, signal: LimitSignal, sent_at: Moment) {
         let now = self.now;
-        if word.rate().is_some() {
+        if signal.rate().is_some() {
             self.nodes[node].told_at.get_or_insert(now);
         }
-        let heard = HeardWord {
-            word,
-            sent,
-            heard: now,
+        let heard = LimitObservation {
+            signal,
+            sent_at,
+            received_at: now,
         };
         let target: TargetId = TARGET.into();
-        if self.nodes[node].board.hear(&target, 0, heard).is_some() {
+        if self.nodes[node].board.observe(&target, 0, heard).is_some() {
             self.report(node, heard);
         }
     }
 
     /// Tells the node that divides what an answer said.
-    fn report(&mut self, node: usize, heard: HeardWord) {
+    fn report(&mut self, node: usize, heard: LimitObservation) {
         let term = self.nodes[node].division.term().cloned();
         match self.doer(node) {
             None => self.note_word(node, heard, term),
             Some(to) => {
-                let sent = self.now - heard.sent;
-                let message = Message::Heard(heard.word, sent, self.now - heard.heard, term);
+                let sent = self.now - heard.sent_at;
+                let message =
+                    Message::Heard(heard.signal, sent, self.now - heard.received_at, term);
                 self.send(node, to, message);
             }
         }
     }
 
-    fn note_word(&mut self, node: usize, heard: HeardWord, term: Option<LimitTerm>) {
+    fn note_word(&mut self, node: usize, heard: LimitObservation, term: Option<LimitTerm>) {
         let now = self.now;
         if !matches!(
             self.enter(node, term.as_ref()),
@@ -388,7 +389,7 @@
         for entry in entries {
             let target: TargetId = entry.target.as_str().into();
             let board = &mut self.nodes[node].board;
-            is_new |= board.set(now, &target, 0, entry.sequence, entry.state);
+            is_new |= board.apply(now, &target, 0, entry.sequence, entry.state);
         }
         is_new
     }
@@ -415,7 +416,7 @@
             divider.note_reach(others - down >= down);
         }
         if role == (DivisionRole::Divides { is_new: true }) {
-            self.nodes[node].board.renumber();
+            self.nodes[node].board.reset_sequences();
             self.publish(node, true);
         }
         if let DivisionRole::Doubted(term) = &role {
@@ -498,7 +499,7 @@
                 self.nodes[node]
                     .board
                     .add_permit(TARGET, asked_at + PERMIT_SPAN);
-                if self.nodes[node].board.enter(now, TARGET) {
+                if self.nodes[node].board.try_acquire(now, TARGET) {
                     self.send_call(node);
                 }
             }
@@ -581,11 +582,11 @@
                     self.send(to, from, Message::Sync(own));
                 }
             }
-            Message::Heard(word, sent, heard, term) => {
-                let heard = HeardWord {
-                    word,
-                    sent: self.now.saturating_sub(sent + Duration::from_millis(300)),
-                    heard: self.now.saturating_sub(heard),
+            Message::Heard(signal, sent, heard, term) => {
+                let heard = LimitObservation {
+                    signal,
+                    sent_at: self.now.saturating_sub(sent + Duration::from_millis(300)),
+                    received_at: self.now.saturating_sub(heard),
                 };
                 self.note_word(to, heard, term);
             }
@@ -596,14 +597,14 @@
         let state = &mut self.nodes[node];
         let is_later = state.division.note_term(term);
         if is_later {
-            state.board.renumber();
+            state.board.reset_sequences();
             state.down.remove(&number_of(&term.holder));
         }
         is_later
     }
 
     fn told(&self, node: usize) -> Vec<LimitEntry> {
-        let told = self.nodes[node].board.told();
+        let told = self.nodes[node].board.announced();
         let entries = told.map(|(target, born, sequence, state)| LimitEntry {
             target: target.to_string(),
             born,
@@ -676,7 +677,7 @@
         state.is_up = true;
         state.is_stopping = false;
         state.division = LimitDivision::new(divider_id(node, state.process));
-        state.board = LimitBoard::default();
+        state.board = LimitTable::default();
         state.down.clear();
         state.heard.clear();
         state.asked.clear();
--- a/packages/turnford-fleet/tests/limit_words.rs
+++ b/packages/turnford-fleet/tests/limit_words.rs
@@ -4,9 +4,9 @@
 
 use turnford_fleet::LimitDivider;
 use turnford_fleet::PermitUse;
-use turnford_policy::HeardWord;
+use turnford_policy::LimitObservation;
+use turnford_policy::LimitSignal;
 use turnford_policy::LimitState;
-use turnford_policy::LimitWord;
 use turnford_policy::TargetId;
 
 const MS: Duration = Duration::from_millis(1);
@@ -20,11 +20,11 @@
 }
 
 /// A word in the answer to a call that was sent at a moment and took so long.
-fn heard(rate: Option<f64>, sent: Duration, span: Duration) -> HeardWord {
-    HeardWord {
-        word: rate.map_or(LimitWord::Unlimited, LimitWord::Rate),
-        sent,
-        heard: sent + span,
+fn heard(rate: Option<f64>, sent: Duration, span: Duration) -> LimitObservation {
+    LimitObservation {
+        signal: rate.map_or(LimitSignal::Unlimited, LimitSignal::Rate),
+        sent_at: sent,
+        received_at: sent + span,
     }
 }
 
@@ -33,8 +33,8 @@
 }
 
 /// Takes a word as soon as it was heard.
-fn note(divider: &mut LimitDivider, word: HeardWord) {
-    divider.note_word(word.heard, &target(), 0, word);
+fn note(divider: &mut LimitDivider, word: LimitObservation) {
+    divider.note_word(word.received_at, &target(), 0, word);
 }
 
 fn state(divider: &mut LimitDivider, now: Duration) -> LimitState {
--- a/packages/turnford-policy/src/route/affinity.rs
+++ b/packages/turnford-policy/src/route/affinity.rs
@@ -9,7 +9,7 @@
 
 use crate::TargetId;
 
-use super::PromptPart;
+use super::PromptSegment;
 
 /// One in so many targets keeps a prompt's most shared part.
 const SHARED_PART: usize = 4;
@@ -19,14 +19,14 @@
 
 /// The targets that should keep the parts of one prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PromptHome {
+pub struct PromptAffinity {
     /// Targets in the order in which they should take the request.
     order: Vec<TargetId>,
 }
 
-impl PromptHome {
+impl PromptAffinity {
     /// Finds the home of a prompt among these targets.
-    pub fn new<'a>(parts: &[PromptPart], targets: impl Iterator<Item = &'a TargetId>) -> Self {
+    pub fn new<'a>(parts: &[PromptSegment], targets: impl Iterator<Item = &'a TargetId>) -> Self {
         let Some((_, kept)) = parts.split_last() else {
             return Self::default();
         };
@@ -42,12 +42,12 @@
     }
 
     /// Tells whether a target is the one that the request should go to.
-    pub fn is_first(&self, target: &TargetId) -> bool {
+    pub fn is_preferred(&self, target: &TargetId) -> bool {
         self.order.first() == Some(target)
     }
 
     /// Returns the target that the request should go to.
-    pub fn first(&self) -> Option<&TargetId> {
+    pub fn preferred(&self) -> Option<&TargetId> {
         self.order.first()
     }
 }
--- a/packages/turnford-policy/src/route/allowance.rs
+++ b/packages/turnford-policy/src/route/allowance.rs
@@ -40,23 +40,23 @@
     }
 
     /// Notes a request that is new to the service.
-    pub fn note_first(&mut self, now: Moment) {
-        self.note_firsts(now, 1);
+    pub fn record_first_attempt(&mut self, now: Moment) {
+        self.record_first_attempts(now, 1);
     }
 
     /// Notes so many requests that are new to the service.
-    pub fn note_firsts(&mut self, now: Moment, count: usize) {
+    pub fn record_first_attempts(&mut self, now: Moment, count: usize) {
         self.forget(now);
         self.firsts.extend(std::iter::repeat_n(now, count));
     }
 
     /// Takes one repeat if the window has room for it.
-    pub fn take(&mut self, now: Moment) -> bool {
-        self.take_many(now, 1)
+    pub fn try_take(&mut self, now: Moment) -> bool {
+        self.try_take_many(now, 1)
     }
 
     /// Takes so many repeats, all or none.
-    pub fn take_many(&mut self, now: Moment, count: usize) -> bool {
+    pub fn try_take_many(&mut self, now: Moment, count: usize) -> bool {
         self.forget(now);
         let room = self.ratio * RATIO_PART * self.firsts.len() as f64 + self.slack;
         if (self.repeats.len() + count) as f64 > room {
@@ -67,12 +67,12 @@
     }
 
     /// Gives the newest repeat back, which was not made.
-    pub fn give_back(&mut self) {
+    pub fn release(&mut self) {
         self.repeats.pop_back();
     }
 
     /// Returns the repeats in the window that ends now.
-    pub fn spent(&mut self, now: Moment) -> usize {
+    pub fn used(&mut self, now: Moment) -> usize {
         self.forget(now);
         self.repeats.len()
     }
--- a/packages/turnford-policy/src/route/batch.rs
+++ b/packages/turnford-policy/src/route/batch.rs
@@ -15,8 +15,8 @@
 use super::BatchSpec;
 use super::PieceTicket;
 use super::PieceWork;
-use super::TargetBoard;
 use super::TargetSpec;
+use super::TargetTable;
 
 /// Weight of the newest call in the average size of calls.
 const SIZE_WEIGHT: f64 = 0.1;
@@ -57,7 +57,7 @@
 
 /// The pieces that wait for one service's targets, and the calls under way.
 #[derive(Debug)]
-pub struct BatchBoard {
+pub struct BatchScheduler {
     spec: BatchSpec,
     waiting: Vec<QueuedPiece>,
     calls: BTreeMap<TargetId, TargetCalls>,
@@ -67,11 +67,11 @@
     busy_size: f64,
 }
 
-impl BatchBoard {
+impl BatchScheduler {
     /// Makes a board for a service.
     pub fn new(spec: BatchSpec) -> Self {
         Self {
-            busy_size: spec.piece_limit.max(1) as f64,
+            busy_size: spec.max_pieces.max(1) as f64,
             spec,
             waiting: Vec::new(),
             calls: BTreeMap::new(),
@@ -96,44 +96,44 @@
     }
 
     /// Puts a piece back into the queue that a call gave no end.
-    pub fn put_back(&mut self, ticket: PieceTicket, work: PieceWork) {
+    pub fn requeue(&mut self, ticket: PieceTicket, work: PieceWork) {
         self.waiting.push(QueuedPiece { ticket, work });
     }
 
     /// Puts a piece back whose result found no room: it may be larger than the configuration says.
-    pub fn put_back_larger(&mut self, ticket: PieceTicket, work: PieceWork) {
+    pub fn requeue_larger(&mut self, ticket: PieceTicket, work: PieceWork) {
         let larger = work.result_bytes + work.result_bytes / 2;
-        let most = self.spec.result_room / LARGEST_PART;
+        let most = self.spec.result_capacity / LARGEST_PART;
         let result_bytes = larger.min(most.max(work.result_bytes));
         let work = PieceWork {
             result_bytes,
             ..work
         };
-        self.put_back(ticket, work);
+        self.requeue(ticket, work);
     }
 
     /// Takes a piece out of the queue; false if it is in a call or gone.
-    pub fn withdraw(&mut self, ticket: PieceTicket) -> bool {
+    pub fn cancel(&mut self, ticket: PieceTicket) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|piece| piece.ticket != ticket);
         before != self.waiting.len()
     }
 
     /// Takes all pieces out of the queue.
-    pub fn take_all(&mut self) -> Vec<PieceTicket> {
+    pub fn drain(&mut self) -> Vec<PieceTicket> {
         let waiting = std::mem::take(&mut self.waiting);
         waiting.into_iter().map(|piece| piece.ticket).collect()
     }
 
     /// Returns the targets whose report is needed before they get a call; each is returned once.
-    pub fn take_unknown(&mut self, now: Moment, targets: &[TargetSpec]) -> Vec<TargetSpec> {
+    pub fn take_unreported(&mut self, now: Moment, targets: &[TargetSpec]) -> Vec<TargetSpec> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
         let mut unknown = Vec::new();
         for target in targets.iter().filter(|target| !target.leaving) {
             let calls = self.calls.entry(target.id.clone()).or_default();
-            calls.born.get_or_insert(target.born);
+            calls.born.get_or_insert(target.process_start);
             let is_due = !calls.is_known(now) && calls.paused_until <= now;
             if is_due && !std::mem::replace(&mut calls.is_asked, true) {
                 unknown.push(target.clone());
@@ -143,57 +143,57 @@
     }
 
     /// Takes a target's own word on the bytes of room that it has left.
-    pub fn note_report(&mut self, now: Moment, target: &TargetId, free: u64) {
+    pub fn record_report(&mut self, now: Moment, target: &TargetId, free: u64) {
         let calls = self.calls.entry(target.clone()).or_default();
         calls.is_asked = false;
         calls.known_until = Some(now + KNOWN_SPAN);
-        let taken = self.spec.result_room.saturating_sub(free);
+        let taken = self.spec.result_capacity.saturating_sub(free);
         let until = now + FOREIGN_SPAN;
         self.room.note_taken(now, target, taken, until);
     }
 
     /// Notes that a target gave no report: it is asked again after a pause, and gets no call before.
-    pub fn note_no_report(&mut self, now: Moment, target: &TargetId) {
+    pub fn record_report_failure(&mut self, now: Moment, target: &TargetId) {
         let calls = self.calls.entry(target.clone()).or_default();
         calls.is_asked = false;
-        self.note_full(now, target);
+        self.record_refusal(now, target);
     }
 
     /// Goes on without a target's report: it takes so few calls that none is left for a question. What it holds
     /// of others' it says when it has no room.
-    pub fn assume_known(&mut self, now: Moment, target: &TargetId) {
+    pub fn assume_report(&mut self, now: Moment, target: &TargetId) {
         let calls = self.calls.entry(target.clone()).or_default();
         calls.known_until = Some(now + KNOWN_SPAN);
     }
 
     /// Tells whether pieces wait that a target could be sent now.
-    pub fn has_use_for(&self, now: Moment, target: &str) -> bool {
+    pub fn has_work_for(&self, now: Moment, target: &str) -> bool {
         let calls = self.calls.get(target);
         let is_free = calls.is_none_or(|calls| calls.has_place(now, self.spec.slots));
         is_free && !self.waiting.is_empty()
     }
 
     /// Has a target asked anew before its next call, since it holds more than is known.
-    pub fn forget_report(&mut self, target: &str) {
+    pub fn invalidate_report(&mut self, target: &str) {
         if let Some(calls) = self.calls.get_mut(target) {
             calls.known_until = None;
         }
     }
 
     /// Returns the number of pieces that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.waiting.len()
     }
 
     /// Returns the time that a call of so many pieces takes.
-    pub fn call_span(&self, pieces: usize) -> Duration {
+    pub fn call_time(&self, pieces: usize) -> Duration {
         let pieces = u32::try_from(pieces).unwrap_or(u32::MAX);
-        self.spec.call_span + self.spec.piece_span * pieces
+        self.spec.call_overhead + self.spec.piece_time * pieces
     }
 
     /// Returns the time that a full call takes.
-    pub fn full_span(&self) -> Duration {
-        self.call_span(self.spec.piece_limit)
+    pub fn full_call_time(&self) -> Duration {
+        self.call_time(self.spec.max_pieces)
     }
 
     /// Returns the time that new pieces of each account rank would wait for their call at these
@@ -201,12 +201,13 @@
     pub fn expected_waits(
         &self,
         now: Moment,
-        board: &TargetBoard,
+        board: &TargetTable,
         targets: &[TargetSpec],
     ) -> [Duration; RANK_COUNT] {
         // What calls really hold while pieces wait, which the room for results may bound.
         let limit = self.busy_size.max(1.0);
-        let full = self.spec.call_span.as_secs_f64() + self.spec.piece_span.as_secs_f64() * limit;
+        let full =
+            self.spec.call_overhead.as_secs_f64() + self.spec.piece_time.as_secs_f64() * limit;
         let full = full.max(0.001);
         let open = targets.iter().filter(|target| !target.leaving);
         let awake = open.filter(|target| !board.is_paused(now, &target.id));
@@ -217,7 +218,7 @@
         for (rank, wait) in waits.iter_mut().enumerate() {
             let is_last = rank + 1 == RANK_COUNT;
             let goes_before = |piece: &&QueuedPiece| {
-                let is_overdue = piece.work.due < now + self.spec.call_span;
+                let is_overdue = piece.work.due < now + self.spec.call_overhead;
                 !is_overdue && (is_last || usize::from(piece.work.ranks.0) <= rank)
             };
             let ahead = self.waiting.iter().filter(goes_before).count() as f64;
@@ -241,12 +242,12 @@
     pub fn plan(
         &mut self,
         now: Moment,
-        board: &TargetBoard,
+        board: &TargetTable,
         targets: &[TargetSpec],
     ) -> (Vec<BatchPlan>, Vec<PieceTicket>) {
         let late = self.take_late(now);
         let mut plans = Vec::new();
-        let span = self.spec.call_span;
+        let span = self.spec.call_overhead;
         self.waiting.sort_by_key(|piece| {
             // What can't be in time any more goes behind what can.
             let is_overdue = piece.work.due < now + span;
@@ -254,7 +255,7 @@
         });
         let mut free = self.free_targets(now, board, targets);
         // Where more waits than a round of calls holds, no target stays idle for what is near.
-        let round = self.spec.piece_limit * targets.len();
+        let round = self.spec.max_pieces * targets.len();
         let is_crowded = self.waiting.len() > round;
         // Pieces that belong near a free target take it first.
         for only_near in [true, false] {
@@ -269,20 +270,20 @@
     }
 
     /// Returns when calls should be planned next though nothing happens until then.
-    pub fn next_look(&mut self, now: Moment) -> Option<Moment> {
+    pub fn next_wakeup(&mut self, now: Moment) -> Option<Moment> {
         let room = self.room.expire(now);
         if self.waiting.is_empty() {
             return None;
         }
         let pauses = self.calls.values().map(|calls| calls.paused_until);
         let deadlines = self.waiting.iter().map(|piece| piece.work.deadline);
-        let halls = self.waiting.iter().map(|piece| piece.work.hall_until);
+        let halls = self.waiting.iter().map(|piece| piece.work.hall_deadline);
         let looks = pauses.chain(deadlines).chain(halls).chain(room);
         looks.filter(|at| *at > now).min()
     }
 
     /// Notes that a call ended, with the results that its target keeps.
-    pub fn note_ended<'a>(
+    pub fn record_end<'a>(
         &mut self,
         now: Moment,
         target: &TargetId,
@@ -302,18 +303,18 @@
             calls.refusals = 0;
         }
         for (handle, bytes) in results {
-            let until = now + self.spec.result_span;
+            let until = now + self.spec.result_ttl;
             self.room.keep(handle, target, bytes, until);
         }
     }
 
     /// Notes that a result was given up.
-    pub fn note_released(&mut self, handle: &str) {
+    pub fn record_release(&mut self, handle: &str) {
         self.room.release(handle);
     }
 
     /// Notes that a target refused a call; it gets a pause before the next.
-    pub fn note_full(&mut self, now: Moment, target: &str) {
+    pub fn record_refusal(&mut self, now: Moment, target: &str) {
         if let Some(calls) = self.calls.get_mut(target) {
             calls.paused_until = now + FULL_PAUSE * 2_u32.pow(calls.refusals);
             calls.refusals = (calls.refusals + 1).min(FULL_DOUBLINGS);
@@ -322,13 +323,13 @@
 
     /// Forgets targets that are gone and have no call under way, and what those held that started
     /// again.
-    pub fn forget_gone(&mut self, board: &TargetBoard) {
+    pub fn retain_listed(&mut self, board: &TargetTable) {
         for (id, calls) in &mut self.calls {
             let Some(listed) = board.get(id) else {
                 continue;
             };
-            let old = calls.born.replace(listed.born);
-            if old.is_some_and(|old| old != listed.born) {
+            let old = calls.born.replace(listed.process_start);
+            if old.is_some_and(|old| old != listed.process_start) {
                 self.room.forget_target(id);
                 *calls = TargetCalls {
                     born: calls.born,
@@ -353,7 +354,7 @@
     fn free_targets(
         &self,
         now: Moment,
-        board: &TargetBoard,
+        board: &TargetTable,
         targets: &[TargetSpec],
     ) -> Vec<TargetSpec> {
         let is_free = |target: &&TargetSpec| {
@@ -367,7 +368,7 @@
             .iter()
             .filter(|target| slowness(&target.id) < SLOW_FACTOR);
         // A slow target helps only where the others would not come to a piece any sooner.
-        let round = quick.count() * self.spec.piece_limit;
+        let round = quick.count() * self.spec.max_pieces;
         let needs_slow = self.waiting.len() > round;
         let is_useful = |target: &&TargetSpec| needs_slow || slowness(&target.id) < SLOW_FACTOR;
         let free = targets.iter().filter(is_free).filter(is_useful);
@@ -391,7 +392,7 @@
             return None;
         }
         let used = self.room.used(now, &target.id);
-        let all = (self.spec.result_room as f64 * ROOM_PART) as u64;
+        let all = (self.spec.result_capacity as f64 * ROOM_PART) as u64;
         let mut room = all.saturating_sub(used);
         let mut taken: Vec<(PieceTicket, PieceWork)> = Vec::new();
         let mut left = Vec::new();
@@ -399,7 +400,7 @@
             let bytes = piece.work.result_bytes;
             // A result larger than all the room is tried where there is nothing else.
             let fits = bytes <= room || (used == 0 && taken.is_empty());
-            let has_place = taken.len() < self.spec.piece_limit.max(1);
+            let has_place = taken.len() < self.spec.max_pieces.max(1);
             let first = taken.first();
             let shares = first.is_none_or(|(_, first)| piece.work.may_share(first));
             if has_place && fits && shares && piece.work.suits(now, hall, is_crowded) {
@@ -416,9 +417,9 @@
         if !self.waiting.is_empty() {
             self.busy_size += SIZE_WEIGHT * (taken.len() as f64 - self.busy_size);
         }
-        let end = now + self.call_span(taken.len());
+        let end = now + self.call_time(taken.len());
         let calls = self.calls.entry(target.id.clone()).or_default();
-        calls.born.get_or_insert(target.born);
+        calls.born.get_or_insert(target.process_start);
         calls.ends.push(end);
         calls.known_until = Some(end + KNOWN_SPAN);
         let plan = BatchPlan {
--- a/packages/turnford-policy/src/route/board.rs
+++ b/packages/turnford-policy/src/route/board.rs
@@ -7,9 +7,9 @@
 use crate::Moment;
 use crate::TargetId;
 
-use super::config::TargetBirth;
+use super::config::ProcessStart;
 use super::entry::BoardEntry;
-use super::entry::LoadMark;
+use super::entry::LoadSample;
 use super::TargetSpec;
 
 /// Weight of the newest sample in averages of failures and times.
@@ -38,20 +38,20 @@
 
 /// The targets of one service.
 #[derive(Clone, Debug, Default)]
-pub struct TargetBoard {
+pub struct TargetTable {
     entries: BTreeMap<TargetId, BoardEntry>,
     /// Which of several equal targets is chosen next. Nodes that took the first would all choose alike.
     turn: Cell<usize>,
 }
 
-impl TargetBoard {
+impl TargetTable {
     /// Takes a new list of targets. What was learned of those that stay is kept; one that started again
     /// is another target, whatever its id.
     pub fn set_targets<'a>(&mut self, specs: impl Iterator<Item = &'a TargetSpec>) {
         let mut old = std::mem::take(&mut self.entries);
         for spec in specs {
             let known = old.remove(&spec.id);
-            let known = known.filter(|entry| spec.is_process_of(&entry.spec));
+            let known = known.filter(|entry| spec.is_same_process(&entry.spec));
             let mut entry = known.unwrap_or_else(|| BoardEntry::new(spec.clone()));
             entry.take_spec(spec);
             self.entries.insert(spec.id.clone(), entry);
@@ -82,9 +82,9 @@
 
     /// Notes that a target's process said that it leaves; true if that is new here. It takes no new work
     /// from then on, whatever its entry says: that may wait for the store, or lag.
-    pub fn note_leaving(&mut self, now: Moment, id: &str, born: TargetBirth) -> bool {
+    pub fn record_leaving(&mut self, now: Moment, id: &str, born: ProcessStart) -> bool {
         let entry = self.entries.get_mut(id);
-        let Some(entry) = entry.filter(|entry| entry.spec.born == born) else {
+        let Some(entry) = entry.filter(|entry| entry.spec.process_start == born) else {
             return false;
         };
         entry.spec.leaving = true;
@@ -92,26 +92,32 @@
     }
 
     /// Notes that a target that said that it leaves stays.
-    pub fn note_staying(&mut self, id: &str, born: TargetBirth) {
+    pub fn record_active(&mut self, id: &str, born: ProcessStart) {
         let entry = self.entries.get_mut(id);
-        if let Some(entry) = entry.filter(|entry| entry.spec.born == born) {
+        if let Some(entry) = entry.filter(|entry| entry.spec.process_start == born) {
             entry.gate.note_staying();
             entry.spec.leaving = entry.is_listed_leaving;
         }
     }
 
     /// Notes that a target's process wants nothing of this node for so long.
-    pub fn note_rest(&mut self, now: Moment, id: &str, born: TargetBirth, span: Duration) {
+    pub fn record_backoff(&mut self, now: Moment, id: &str, born: ProcessStart, span: Duration) {
         let entry = self.entries.get_mut(id);
-        if let Some(entry) = entry.filter(|entry| entry.spec.born == born) {
+        if let Some(entry) = entry.filter(|entry| entry.spec.process_start == born) {
             entry.gate.note_rest(now, span);
         }
     }
 
     /// Notes that a target's process wants nothing for so long of the node that gathers for it.
-    pub fn note_told_rest(&mut self, now: Moment, id: &str, born: TargetBirth, span: Duration) {
+    pub fn record_batcher_backoff(
+        &mut self,
+        now: Moment,
+        id: &str,
+        born: ProcessStart,
+        span: Duration,
+    ) {
         let entry = self.entries.get_mut(id);
-        if let Some(entry) = entry.filter(|entry| entry.spec.born == born) {
+        if let Some(entry) = entry.filter(|entry| entry.spec.process_start == born) {
             entry.gate.note_told_rest(now, span);
         }
     }
@@ -123,14 +129,14 @@
     }
 
     /// Tells until when a target wants nothing of this node, `None` if it takes calls.
-    pub fn rests_until(&self, now: Moment, id: &str) -> Option<Moment> {
+    pub fn backoff_until(&self, now: Moment, id: &str) -> Option<Moment> {
         let entry = self.entries.get(id)?;
         entry.gate.rests(now).then(|| entry.gate.rests_until())
     }
 
     /// Tells whether a target takes the calls of this node that are under way there, those that are about
     /// to be sent among them.
-    pub fn has_room(&self, now: Moment, id: &str) -> bool {
+    pub fn is_within_limit(&self, now: Moment, id: &str) -> bool {
         let entry = self.entries.get(id);
         entry.is_some_and(|entry| entry.gate.has_room(now, entry.in_flight))
     }
@@ -162,19 +168,19 @@
     }
 
     /// Returns when the first target takes calls of the node that gathers for it, at the earliest now.
-    pub fn serves_at(&self, now: Moment) -> Option<Moment> {
+    pub fn opens_for_batcher_at(&self, now: Moment) -> Option<Moment> {
         let ends = self.untried(&[]).map(|entry| entry.gate.any_rest_until());
         ends.min().map(|end| end.max(now))
     }
 
     /// Tells whether a target rests towards the node that gathers for it.
-    pub fn rests_anywhere(&self, now: Moment, id: &str) -> bool {
+    pub fn has_any_backoff(&self, now: Moment, id: &str) -> bool {
         let entry = self.entries.get(id);
         entry.is_some_and(|entry| now < entry.gate.any_rest_until())
     }
 
     /// Returns the requests that the targets beside these work on at a time.
-    pub fn places(&self, tried: &[TargetId]) -> u32 {
+    pub fn total_slots(&self, tried: &[TargetId]) -> u32 {
         self.untried(tried).map(|entry| entry.spec.slots).sum()
     }
 
@@ -186,7 +192,7 @@
     /// Returns the targets to be asked whether they stay, each once in a while: they said that they
     /// leave, and their entries still say that they are ready. `later` is this node's own number from 0 to
     /// 1, so that nodes ask one after the other.
-    pub fn take_due_asks(&mut self, now: Moment, later: f64) -> Vec<TargetSpec> {
+    pub fn take_due_probes(&mut self, now: Moment, later: f64) -> Vec<TargetSpec> {
         let entries = self.entries.values_mut();
         let due =
             entries.filter(|entry| !entry.is_listed_leaving && entry.gate.is_ask_due(now, later));
@@ -272,28 +278,28 @@
     }
 
     /// Notes that a call of this node goes to a target.
-    pub fn note_sent(&mut self, id: &str) {
+    pub fn record_start(&mut self, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.in_flight += 1;
         }
     }
 
     /// Notes that a call of this node ended, however it did.
-    pub fn note_ended(&mut self, id: &str) {
+    pub fn record_end(&mut self, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
     /// Takes the load that a target told.
-    pub fn note_load(&mut self, now: Moment, id: &str, mark: LoadMark) {
+    pub fn record_load(&mut self, now: Moment, id: &str, mark: LoadSample) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.mark = Some((now, mark, entry.in_flight));
         }
     }
 
     /// Notes a call that went well.
-    pub fn note_success(&mut self, now: Moment, id: &str) {
+    pub fn record_success(&mut self, now: Moment, id: &str) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
@@ -304,7 +310,7 @@
     }
 
     /// Notes the time of a call against what was expected of it; 1 is as expected.
-    pub fn note_slowness(&mut self, now: Moment, id: &str, sample: f64) {
+    pub fn record_slowness(&mut self, now: Moment, id: &str, sample: f64) {
         if let Some(entry) = self.entries.get_mut(id) {
             let old = entry.slowness.map_or(sample, |(old, _)| old);
             let new = old + SLOWNESS_WEIGHT * (sample - old);
@@ -313,14 +319,14 @@
     }
 
     /// Notes a call that failed in a way that speaks against the target itself.
-    pub fn note_failure(&mut self, id: &str) {
+    pub fn record_failure(&mut self, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.failure += SAMPLE_WEIGHT * (1.0 - entry.failure);
         }
     }
 
     /// Notes that a target could not be reached or is full: it gets a pause.
-    pub fn note_refused(&mut self, now: Moment, id: &str) {
+    pub fn record_refusal(&mut self, now: Moment, id: &str) {
         let Some(entry) = self.entries.get_mut(id) else {
             return;
         };
--- a/packages/turnford-policy/src/route/config.rs
+++ b/packages/turnford-policy/src/route/config.rs
@@ -56,17 +56,17 @@
     /// Longest time that a request is held.
     pub timeout: Duration,
     /// Time within which an answer is worth most; for streams, until the first event.
-    pub goal: Duration,
+    pub latency_objective: Duration,
     /// Longest pause between the events of a stream that is still in time.
-    pub pause_goal: Option<Duration>,
+    pub gap_objective: Option<Duration>,
     /// Time after which clients leave a stream that has no event yet.
-    pub first_patience: Option<Duration>,
+    pub first_event_timeout: Option<Duration>,
     /// Rank of its requests; 0 goes first.
     pub rank: ClassRank,
     /// Services that share its requests, by weight.
     pub shares: Vec<ServiceShare>,
     /// Most targets that one request may be sent to.
-    pub target_limit: u32,
+    pub max_targets: u32,
     /// Work done before the request itself runs.
     pub stages: Vec<StageSpec>,
     /// Whether requests need no key.
@@ -140,7 +140,7 @@
     /// Requests that run at a time.
     pub slots: u32,
     /// Memory for prompts and answers, in tokens.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
 }
 
 /// What one target of a stage can do.
@@ -149,40 +149,40 @@
     /// Calls at work at a time.
     pub slots: usize,
     /// Calls that may wait.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// Most pieces in a call.
-    pub piece_limit: usize,
+    pub max_pieces: usize,
     /// Time of a call without its pieces.
-    pub call_span: Duration,
+    pub call_overhead: Duration,
     /// Time that each piece adds, roughly.
-    pub piece_span: Duration,
+    pub piece_time: Duration,
     /// Room for results, in bytes.
-    pub result_room: u64,
+    pub result_capacity: u64,
     /// Time that a result is kept after its call.
-    pub result_span: Duration,
+    pub result_ttl: Duration,
 }
 
 /// What a client may send, and how slowly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
     /// Largest head, in bytes.
-    pub head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Largest body, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a head to arrive.
-    pub head_span: Duration,
+    pub header_timeout: Duration,
     /// Longest rest of a kept connection.
-    pub idle_span: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
     /// What holds until a configuration is known: the usual sizes of HTTP servers.
     fn default() -> Self {
         Self {
-            head_bytes: 16 * 1024,
-            body_bytes: 4 * 1024 * 1024,
-            head_span: Duration::from_secs(3),
-            idle_span: Duration::from_secs(15),
+            max_header_bytes: 16 * 1024,
+            max_body_bytes: 4 * 1024 * 1024,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -199,7 +199,7 @@
 }
 
 /// Start of a target's process, in milliseconds of the time of day.
-pub type TargetBirth = u64;
+pub type ProcessStart = u64;
 
 /// A target as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -207,7 +207,7 @@
     /// Its id; a target that starts again may have the same.
     pub id: TargetId,
     /// Start of its process, in milliseconds of the time of day; 0 where it does not tell.
-    pub born: TargetBirth,
+    pub process_start: ProcessStart,
     /// Service that it runs.
     pub service: ServiceId,
     /// Address.
@@ -225,7 +225,8 @@
 impl TargetSpec {
     /// Tells whether an older entry of the same id is of the same process. Where its start is not told,
     /// fewer orders than before tell of another.
-    pub fn is_process_of(&self, older: &TargetSpec) -> bool {
-        self.born == older.born && (self.born != 0 || self.orders >= older.orders)
+    pub fn is_same_process(&self, older: &TargetSpec) -> bool {
+        self.process_start == older.process_start
+            && (self.process_start != 0 || self.orders >= older.orders)
     }
 }
--- a/packages/turnford-policy/src/route/engine.rs
+++ b/packages/turnford-policy/src/route/engine.rs
@@ -10,12 +10,12 @@
 use crate::TargetId;
 
 use super::reading::ReadQueue;
-use super::PromptHome;
-use super::PromptPart;
-use super::SpanLine;
-use super::TargetBirth;
-use super::TargetBoard;
+use super::LatencyModel;
+use super::ProcessStart;
+use super::PromptAffinity;
+use super::PromptSegment;
 use super::TargetSpec;
+use super::TargetTable;
 
 /// Number of a placed request.
 pub type RunTicket = u64;
@@ -61,13 +61,13 @@
 
 /// What the placement of a request depends on.
 #[derive(Clone, Debug)]
-pub struct PlaceNeed {
+pub struct PlacementRequest {
     /// Parts of the prompt, the most shared one first, the request's own last.
-    pub parts: Vec<PromptPart>,
+    pub segments: Vec<PromptSegment>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
     /// Longest answer, in tokens.
-    pub answer_tokens: u64,
+    pub max_output_tokens: u64,
     /// Bytes of its inputs in each hall.
     pub inputs: Vec<(Arc<str>, u64)>,
     /// Targets that it was sent to before.
@@ -78,10 +78,10 @@
     pub deadline: Moment,
 }
 
-impl PlaceNeed {
+impl PlacementRequest {
     /// Returns the memory that the request takes, in tokens.
     fn memory(&self) -> u64 {
-        self.prompt_tokens + self.answer_tokens
+        self.prompt_tokens + self.max_output_tokens
     }
 }
 
@@ -90,7 +90,7 @@
 struct EngineRun {
     target: TargetId,
     /// Start of the target's process.
-    born: TargetBirth,
+    born: ProcessStart,
     memory: u64,
     has_begun: bool,
     placed: Moment,
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Default)]
 struct EngineState {
     /// Start of its process.
-    born: TargetBirth,
+    born: ProcessStart,
     reading: ReadQueue,
     /// Requests that it reads or runs.
     runs: usize,
@@ -121,8 +121,8 @@
 
 impl EngineState {
     /// Returns the tokens to read anew: of shared parts, and of the request's own.
-    fn missing(&self, need: &PlaceNeed) -> (u64, u64) {
-        let Some((own, shared)) = need.parts.split_last() else {
+    fn missing(&self, need: &PlacementRequest) -> (u64, u64) {
+        let Some((own, shared)) = need.segments.split_last() else {
             return (0, need.prompt_tokens);
         };
         let mut is_kept = true;
@@ -136,7 +136,7 @@
         (missing, own.tokens)
     }
 
-    fn keep(&mut self, now: Moment, part: &PromptPart) {
+    fn keep(&mut self, now: Moment, part: &PromptSegment) {
         let kept = KeptPart {
             tokens: part.tokens,
             used: now,
@@ -162,11 +162,11 @@
 
 /// The engines of one service.
 #[derive(Clone, Debug)]
-pub struct EngineBoard {
+pub struct EngineScheduler {
     /// Memory of one engine, in tokens.
     capacity: u64,
     /// Span until the first event by the tokens that are read.
-    read_line: SpanLine,
+    read_line: LatencyModel,
     /// How far first events were from what was expected, on average.
     miss: Duration,
     engines: BTreeMap<TargetId, EngineState>,
@@ -174,11 +174,11 @@
     next_ticket: RunTicket,
 }
 
-impl Default for EngineBoard {
+impl Default for EngineScheduler {
     fn default() -> Self {
         Self {
             capacity: 0,
-            read_line: SpanLine::new(START_LAG, START_TOKENS, START_LAG + START_SPAN),
+            read_line: LatencyModel::new(START_LAG, START_TOKENS, START_LAG + START_SPAN),
             miss: START_MISS,
             engines: BTreeMap::new(),
             runs: HashMap::new(),
@@ -187,17 +187,17 @@
     }
 }
 
-impl EngineBoard {
+impl EngineScheduler {
     /// Sets the memory of one engine, in tokens.
     pub fn set_capacity(&mut self, tokens: u64) {
         self.capacity = tokens;
     }
 
     /// Forgets engines that are gone or started again.
-    pub fn keep_only(&mut self, board: &TargetBoard) {
+    pub fn retain_listed(&mut self, board: &TargetTable) {
         let is_same = |id: &TargetId, engine: &EngineState| {
             let listed = board.get(id);
-            listed.is_some_and(|listed| listed.born == engine.born)
+            listed.is_some_and(|listed| listed.process_start == engine.born)
         };
         self.engines.retain(|id, engine| is_same(id, engine));
     }
@@ -206,11 +206,14 @@
     pub fn place(
         &mut self,
         now: Moment,
-        board: &TargetBoard,
-        need: &PlaceNeed,
+        board: &TargetTable,
+        need: &PlacementRequest,
     ) -> Option<(TargetSpec, RunTicket)> {
         self.forget_late(now);
-        let home = PromptHome::new(&need.parts, board.open_targets().map(|target| &target.id));
+        let home = PromptAffinity::new(
+            &need.segments,
+            board.open_targets().map(|target| &target.id),
+        );
         let cost = |target: &TargetSpec, _: f64| {
             let slowness = board.slowness(now, &target.id);
             self.cost(now, target, need, &home, slowness)
@@ -226,8 +229,8 @@
         &self,
         now: Moment,
         target: &TargetSpec,
-        need: &PlaceNeed,
-        home: &PromptHome,
+        need: &PlacementRequest,
+        home: &PromptAffinity,
         slowness: f64,
     ) -> f64 {
         let unknown = EngineState::default();
@@ -244,7 +247,7 @@
         let limit = self.capacity as f64 * MEMORY_PART;
         let is_over = (engine.memory + need.memory()) as f64 > limit;
         let memory = if is_over { MEMORY_COST } else { 0.0 };
-        let away = if home.is_first(&target.id) {
+        let away = if home.is_preferred(&target.id) {
             0.0
         } else {
             AWAY_COST
@@ -263,14 +266,14 @@
         &mut self,
         now: Moment,
         target: &TargetSpec,
-        need: &PlaceNeed,
+        need: &PlacementRequest,
         slowness: f64,
     ) -> RunTicket {
         self.next_ticket += 1;
         let engine = self.engines.entry(target.id.clone()).or_default();
-        if engine.born != target.born {
+        if engine.born != target.process_start {
             *engine = EngineState {
-                born: target.born,
+                born: target.process_start,
                 ..EngineState::default()
             };
         }
@@ -280,13 +283,13 @@
         engine.reading.push(now, self.next_ticket, tokens);
         engine.runs += 1;
         engine.memory += need.memory();
-        for part in need.parts.iter().rev().skip(1) {
+        for part in need.segments.iter().rev().skip(1) {
             engine.keep(now, part);
         }
         engine.evict(self.capacity);
         let run = EngineRun {
             target: target.id.clone(),
-            born: target.born,
+            born: target.process_start,
             memory: need.memory(),
             has_begun: false,
             placed: now,
@@ -299,7 +302,7 @@
 
     /// Notes that a placed request has its first event, so long after it was placed: its prompt is
     /// read. Returns its span against what was expected, where it tells of its engine's speed.
-    pub fn note_begun(&mut self, ticket: RunTicket, span: Duration) -> Option<f64> {
+    pub fn record_first_event(&mut self, ticket: RunTicket, span: Duration) -> Option<f64> {
         let run = self.runs.get_mut(&ticket)?;
         if std::mem::replace(&mut run.has_begun, true) {
             return None;
@@ -316,8 +319,8 @@
             self.read_line.base()
         };
         let span = sample.span + lag;
-        let expected = self.read_line.span(tokens);
-        self.read_line.note(tokens, span);
+        let expected = self.read_line.predict(tokens);
+        self.read_line.observe(tokens, span);
         let is_telling = expected > self.read_line.base() * 2;
         is_telling.then(|| span.as_secs_f64() / expected.as_secs_f64())
     }
@@ -328,7 +331,7 @@
     }
 
     /// Notes that a placed request ended, however it did.
-    pub fn note_ended(&mut self, ticket: RunTicket) {
+    pub fn record_end(&mut self, ticket: RunTicket) {
         let Some(run) = self.runs.remove(&ticket) else {
             return;
         };
@@ -345,7 +348,7 @@
         let late = self.runs.iter().filter(|(_, run)| run.forget_at <= now);
         let late: Vec<RunTicket> = late.map(|(ticket, _)| *ticket).collect();
         for ticket in late {
-            self.note_ended(ticket);
+            self.record_end(ticket);
         }
     }
 }
@@ -353,11 +356,11 @@
 /// Returns the span until the first event of a request that has so many tokens to be read at an engine.
 fn first_span(
     now: Moment,
-    line: &SpanLine,
+    line: &LatencyModel,
     engine: &EngineState,
     tokens: u64,
     slowness: f64,
 ) -> Duration {
     let wait = engine.reading.wait(now, line, slowness);
-    wait + line.span(tokens as f64).mul_f64(slowness)
+    wait + line.predict(tokens as f64).mul_f64(slowness)
 }
--- a/packages/turnford-policy/src/route/entry.rs
+++ b/packages/turnford-policy/src/route/entry.rs
@@ -12,7 +12,7 @@
 
 /// Load that a target told with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadMark {
+pub struct LoadSample {
     /// Requests at work.
     pub running: u32,
     /// Requests that wait.
@@ -33,7 +33,7 @@
     /// Calls of this node under way.
     pub(super) in_flight: u32,
     /// Last load told, with the calls of this node that were under way then.
-    pub(super) mark: Option<(Moment, LoadMark, u32)>,
+    pub(super) mark: Option<(Moment, LoadSample, u32)>,
     pub(super) failure: f64,
     /// Average time of a call against what was expected of it, and when it was last measured.
     pub(super) slowness: Option<(f64, Moment)>,
--- a/packages/turnford-policy/src/route/flow.rs
+++ b/packages/turnford-policy/src/route/flow.rs
@@ -23,7 +23,7 @@
 
 /// Longest time to come back that is told. Clients wait for some seconds at most, and what is known of
 /// the queues is older than that by then.
-pub const LONGEST_RETURN: Duration = Duration::from_secs(10);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
 /// Time after its deadline for which a request that nothing was heard of is remembered.
 const FORGET_SPAN: Duration = Duration::from_secs(2);
@@ -41,13 +41,13 @@
 
 /// What a request needs.
 #[derive(Clone, Debug)]
-pub struct FlowNeed {
+pub struct FlowRequest {
     /// Its stages.
     pub stages: Vec<FlowStage>,
     /// Ranks of its account and its route; 0 goes first.
     pub ranks: Ranks,
     /// Time in which its stages must be done.
-    pub limit: Duration,
+    pub time_budget: Duration,
     /// When it ends at the latest.
     pub deadline: Moment,
 }
@@ -70,10 +70,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowRefusal {
     /// By how much its stages would be late.
-    pub late: Duration,
+    pub lateness: Duration,
     /// Time to come back, when the queues will have room for one like it. Those that are refused
     /// together get different ones.
-    pub back_after: Duration,
+    pub retry_after: Duration,
 }
 
 /// An admitted request.
@@ -87,13 +87,13 @@
 
 /// All admitted requests whose stages are not done.
 #[derive(Clone, Debug, Default)]
-pub struct FlowBoard {
+pub struct FlowController {
     services: HashMap<ServiceId, FlowService>,
     runs: HashMap<FlowTicket, FlowRun>,
     next_ticket: FlowTicket,
 }
 
-impl FlowBoard {
+impl FlowController {
     /// Admits a request if its stages will be done in time, and tells when they will be.
     ///
     /// # Errors
@@ -102,7 +102,7 @@
     pub fn admit(
         &mut self,
         now: Moment,
-        need: &FlowNeed,
+        need: &FlowRequest,
         rate_of: impl Fn(&str) -> Option<StageRate>,
     ) -> Result<(FlowTicket, FlowForecast), FlowRefusal> {
         self.forget_late(now);
@@ -113,10 +113,13 @@
             }
         }
         let forecast = self.forecast_new(need, &rate_of);
-        let late = forecast.end().saturating_sub(need.limit);
-        if !late.is_zero() {
-            let back_after = self.plan_return(now, need, late, &rate_of);
-            return Err(FlowRefusal { late, back_after });
+        let lateness = forecast.end().saturating_sub(need.time_budget);
+        if !lateness.is_zero() {
+            let retry_after = self.plan_return(now, need, lateness, &rate_of);
+            return Err(FlowRefusal {
+                lateness,
+                retry_after,
+            });
         }
         let open = need.stages.iter().map(|stage| {
             let mut open = OpenStage {
@@ -143,7 +146,7 @@
     /// Forecasts the stages of a request that is not admitted.
     fn forecast_new(
         &self,
-        need: &FlowNeed,
+        need: &FlowRequest,
         rate_of: impl Fn(&str) -> Option<StageRate>,
     ) -> FlowForecast {
         let stages = need.stages.iter().map(|stage| {
@@ -192,9 +195,9 @@
             return NEVER;
         }
         let Some(service) = self.services.get(service) else {
-            return rate.opens_in;
+            return rate.available_in;
         };
-        rate.opens_in + service.wait(rate.nominal, ranks, ahead(service))
+        rate.available_in + service.wait(rate.nominal, ranks, ahead(service))
     }
 
     /// Chooses when a request that is refused should come back: when it would not be late, and not
@@ -202,11 +205,11 @@
     fn plan_return(
         &mut self,
         now: Moment,
-        need: &FlowNeed,
+        need: &FlowRequest,
         late: Duration,
         rate_of: impl Fn(&str) -> Option<StageRate>,
     ) -> Duration {
-        let mut back = now + late.min(LONGEST_RETURN);
+        let mut back = now + late.min(MAX_RETRY_AFTER);
         for stage in need.stages.iter().filter(|stage| stage.pieces > 0) {
             let Some(rate) = rate_of(&stage.service) else {
                 continue;
@@ -215,13 +218,13 @@
             back = back.max(service.next_return);
             let span = f64::from(stage.pieces) / service.rate(rate.nominal).max(LEAST_RATE);
             let next = back + Duration::from_secs_f64(span);
-            service.next_return = next.min(now + LONGEST_RETURN);
+            service.next_return = next.min(now + MAX_RETRY_AFTER);
         }
-        back.saturating_sub(now).min(LONGEST_RETURN)
+        back.saturating_sub(now).min(MAX_RETRY_AFTER)
     }
 
     /// Notes that a stage of a request is done.
-    pub fn note_stage(&mut self, ticket: FlowTicket, stage: usize) {
+    pub fn record_stage_done(&mut self, ticket: FlowTicket, stage: usize) {
         let Some(run) = self.runs.get_mut(&ticket) else {
             return;
         };
@@ -244,7 +247,7 @@
     }
 
     /// Notes that a request needs nothing more of any stage.
-    pub fn note_ended(&mut self, ticket: FlowTicket) {
+    pub fn record_end(&mut self, ticket: FlowTicket) {
         let Some(run) = self.runs.remove(&ticket) else {
             return;
         };
@@ -271,7 +274,7 @@
         let late = self.runs.iter().filter(|(_, run)| run.forget_at <= now);
         let late: Vec<FlowTicket> = late.map(|(ticket, _)| *ticket).collect();
         for ticket in late {
-            self.note_ended(ticket);
+            self.record_end(ticket);
         }
     }
 }
--- a/packages/turnford-policy/src/route/flow_service.rs
+++ b/packages/turnford-policy/src/route/flow_service.rs
@@ -32,19 +32,19 @@
     /// Results a second while all targets make full calls.
     pub nominal: f64,
     /// Time of a call without its pieces.
-    pub call_span: Duration,
+    pub call_overhead: Duration,
     /// Time of a piece.
-    pub piece_span: Duration,
+    pub piece_time: Duration,
     /// Most pieces of a call.
-    pub piece_limit: u32,
+    pub max_pieces: u32,
     /// Time until its first target takes calls, where all want rest.
-    pub opens_in: Duration,
+    pub available_in: Duration,
 }
 
 impl StageRate {
     /// Returns the time of a call of so many pieces.
     pub(super) fn span(&self, pieces: u32) -> Duration {
-        self.call_span + self.piece_span * pieces.min(self.piece_limit)
+        self.call_overhead + self.piece_time * pieces.min(self.max_pieces)
     }
 }
 
--- a/packages/turnford-policy/src/route/gone.rs
+++ b/packages/turnford-policy/src/route/gone.rs
@@ -5,7 +5,7 @@
 
 use crate::TargetId;
 
-use super::config::TargetBirth;
+use super::config::ProcessStart;
 use super::TargetSpec;
 
 /// Processes that are remembered: more than end in the seconds by which a copy of the store is older, at
@@ -13,7 +13,7 @@
 const GONE_LIMIT: usize = 1024;
 
 /// A process: its target's id and its start.
-type ProcessKey = (TargetId, TargetBirth);
+type ProcessKey = (TargetId, ProcessStart);
 
 /// The processes that ended last, with the era of the store that told.
 #[derive(Clone, Debug, Default)]
@@ -58,5 +58,5 @@
 }
 
 fn key_of(target: &TargetSpec) -> ProcessKey {
-    (target.id.clone(), target.born)
+    (target.id.clone(), target.process_start)
 }
--- a/packages/turnford-policy/src/route/graph.rs
+++ b/packages/turnford-policy/src/route/graph.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the number of pieces of a stage.
-    pub fn count(&self, stage: usize) -> u32 {
+    pub fn piece_count(&self, stage: usize) -> u32 {
         self.counts[stage]
     }
 
@@ -52,12 +52,12 @@
     }
 
     /// Returns the stages whose results no other stage needs, which the request itself needs.
-    pub fn last(&self) -> &[usize] {
+    pub fn sinks(&self) -> &[usize] {
         &self.last
     }
 
     /// Returns the stages that a stage's results go to.
-    pub fn users(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
+    pub fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
         let stages = 0..self.counts.len();
         stages.filter(move |&other| self.counts[other] > 0 && self.inputs[other].contains(&stage))
     }
--- a/packages/turnford-policy/src/route/limit_board.rs
+++ b/packages/turnford-policy/src/route/limit_board.rs
@@ -7,10 +7,10 @@
 use crate::TargetId;
 
 use super::limit_view::LimitView;
-use super::HeardWord;
+use super::LimitObservation;
 use super::LimitState;
-use super::TargetBirth;
-use super::TargetBoard;
+use super::ProcessStart;
+use super::TargetTable;
 
 /// Time for which a target's limit is remembered while its entry is missing: it may have lapsed, and a
 /// limit does not end with an entry.
@@ -18,26 +18,26 @@
 
 /// The limits of one service's targets. A target without one has no place here.
 #[derive(Clone, Debug, Default)]
-pub struct LimitBoard {
+pub struct LimitTable {
     views: BTreeMap<TargetId, LimitView>,
     /// Starts of the processes that the targets' entries tell.
-    births: BTreeMap<TargetId, TargetBirth>,
+    births: BTreeMap<TargetId, ProcessStart>,
     /// Since when targets' entries are missing.
     missing: BTreeMap<TargetId, Moment>,
 }
 
-impl LimitBoard {
+impl LimitTable {
     /// Forgets the limits of targets that are gone, and of those that started again.
-    pub fn keep_only(&mut self, now: Moment, board: &TargetBoard) {
+    pub fn retain_listed(&mut self, now: Moment, board: &TargetTable) {
         let listed = board.all_targets();
         self.births = listed
-            .map(|target| (target.id.clone(), target.born))
+            .map(|target| (target.id.clone(), target.process_start))
             .collect();
         let missing = &mut self.missing;
         self.views.retain(|id, view| match board.get(id) {
             Some(target) => {
                 missing.remove(id);
-                target.born == view.born
+                target.process_start == view.born
             }
             None => {
                 let since = *missing.entry(id.clone()).or_insert(now);
@@ -50,14 +50,14 @@
 
     /// Takes what an answer to this node said of a target's limit; returns what held before if the node that
     /// divides should know it.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         id: &TargetId,
-        born: TargetBirth,
-        heard: HeardWord,
+        born: ProcessStart,
+        heard: LimitObservation,
     ) -> Option<LimitState> {
         let is_known = self.views.contains_key(id);
-        if self.is_other(id, born) || (!is_known && heard.word.rate().is_none()) {
+        if self.is_other(id, born) || (!is_known && heard.signal.rate().is_none()) {
             return None;
         }
         let view = self.view(id, born);
@@ -66,11 +66,11 @@
     }
 
     /// Takes what the node that divides says of a target's limit; true if it is new.
-    pub fn set(
+    pub fn apply(
         &mut self,
         now: Moment,
         id: &TargetId,
-        born: TargetBirth,
+        born: ProcessStart,
         sequence: u64,
         state: LimitState,
     ) -> bool {
@@ -86,11 +86,11 @@
     }
 
     /// Tells whether another process runs under a target's id by now.
-    fn is_other(&self, id: &str, born: TargetBirth) -> bool {
+    fn is_other(&self, id: &str, born: ProcessStart) -> bool {
         self.births.get(id).is_some_and(|listed| *listed != born)
     }
 
-    fn view(&mut self, id: &TargetId, born: TargetBirth) -> &mut LimitView {
+    fn view(&mut self, id: &TargetId, born: ProcessStart) -> &mut LimitView {
         let view = self.views.entry(id.clone());
         let view = view.or_insert_with(|| LimitView::new(born));
         if view.born != born {
@@ -100,14 +100,14 @@
     }
 
     /// Notes that another node divides from now on, whose words are numbered anew.
-    pub fn renumber(&mut self) {
+    pub fn reset_sequences(&mut self) {
         for view in self.views.values_mut() {
             view.sequence = 0;
         }
     }
 
     /// Tells whether a target's process ever named a limit, as far as this node knows.
-    pub fn knows(&self, id: &str, born: TargetBirth) -> bool {
+    pub fn is_known(&self, id: &str, born: ProcessStart) -> bool {
         self.views.get(id).is_some_and(|view| view.born == born)
     }
 
@@ -119,19 +119,19 @@
     }
 
     /// Returns what a target's limit follows from, where an answer or another node told of one.
-    pub fn word(&self, id: &str) -> Option<HeardWord> {
+    pub fn observation(&self, id: &str) -> Option<LimitObservation> {
         self.views.get(id)?.heard
     }
 
     /// Returns the targets whose calls need permits.
-    pub fn limited(&self) -> impl Iterator<Item = (&TargetId, TargetBirth, LimitState)> {
+    pub fn limited(&self) -> impl Iterator<Item = (&TargetId, ProcessStart, LimitState)> {
         let views = self.views.iter();
         let limited = views.filter(|(_, view)| view.state.needs_permit());
         limited.map(|(id, view)| (id, view.born, view.state))
     }
 
     /// Returns what the node that divides said last of each target, with the number of its word.
-    pub fn told(&self) -> impl Iterator<Item = (&TargetId, TargetBirth, u64, LimitState)> {
+    pub fn announced(&self) -> impl Iterator<Item = (&TargetId, ProcessStart, u64, LimitState)> {
         let views = self.views.iter();
         let told = views.filter(|(_, view)| view.sequence > 0);
         told.map(|(id, view)| (id, view.born, view.sequence, view.state))
@@ -150,7 +150,7 @@
     }
 
     /// Notes that there is no permit for a target until a moment.
-    pub fn note_denied(&mut self, id: &str, until: Moment) {
+    pub fn record_denial(&mut self, id: &str, until: Moment) {
         if let Some(view) = self.views.get_mut(id) {
             view.note_denied(until);
         }
@@ -168,7 +168,7 @@
     }
 
     /// Lets a call of this node through a target's limit, and uses up its permit; false if there is none.
-    pub fn enter(&mut self, now: Moment, id: &str) -> bool {
+    pub fn try_acquire(&mut self, now: Moment, id: &str) -> bool {
         self.views.get_mut(id).is_none_or(|view| view.enter(now))
     }
 }
--- a/packages/turnford-policy/src/route/limit_view.rs
+++ b/packages/turnford-policy/src/route/limit_view.rs
@@ -3,8 +3,8 @@
 use crate::Moment;
 
 use super::CallRate;
-use super::LimitWord;
-use super::TargetBirth;
+use super::LimitSignal;
+use super::ProcessStart;
 
 /// What holds of a target's limit now, as the node that divides it says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, bincode::Encode, bincode::Decode)]
@@ -25,10 +25,10 @@
     }
 
     /// Tells whether a target's word is what this state follows from.
-    pub fn agrees(self, word: LimitWord) -> bool {
+    pub fn matches(self, word: LimitSignal) -> bool {
         match self {
-            LimitState::Limited(rate) => word == LimitWord::Rate(rate),
-            LimitState::Free | LimitState::Easing => word == LimitWord::Unlimited,
+            LimitState::Limited(rate) => word == LimitSignal::Rate(rate),
+            LimitState::Free | LimitState::Easing => word == LimitSignal::Unlimited,
         }
     }
 }
@@ -36,23 +36,23 @@
 /// What a target said, and between which moments. Answers overtake each other: of two words the newer is
 /// known only where one was asked for after the other had come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HeardWord {
+pub struct LimitObservation {
     /// The word.
-    pub word: LimitWord,
+    pub signal: LimitSignal,
     /// When the call was sent whose answer it stood in.
-    pub sent: Moment,
+    pub sent_at: Moment,
     /// When the answer came.
-    pub heard: Moment,
+    pub received_at: Moment,
 }
 
 /// A target's limit as one node knows it.
 #[derive(Clone, Debug)]
 pub(super) struct LimitView {
     /// Start of the target's process.
-    pub(super) born: TargetBirth,
+    pub(super) born: ProcessStart,
     pub(super) state: LimitState,
     /// What the state follows from.
-    pub(super) heard: Option<HeardWord>,
+    pub(super) heard: Option<LimitObservation>,
     /// Number of the divider's word that the state is.
     pub(super) sequence: u64,
     /// Until when the permits hold that this node has and did not use.
@@ -62,7 +62,7 @@
 }
 
 impl LimitView {
-    pub(super) fn new(born: TargetBirth) -> Self {
+    pub(super) fn new(born: ProcessStart) -> Self {
         Self {
             born,
             state: LimitState::Free,
@@ -74,15 +74,15 @@
     }
 
     /// Takes what an answer to this node said; true if the node that divides should know it.
-    pub(super) fn hear(&mut self, heard: HeardWord) -> bool {
-        if self.state.agrees(heard.word) {
+    pub(super) fn hear(&mut self, heard: LimitObservation) -> bool {
+        if self.state.matches(heard.signal) {
             if self.state.needs_permit() {
                 self.heard = Some(heard);
             }
             return false;
         }
         self.heard = Some(heard);
-        if let (LimitState::Free, LimitWord::Rate(rate)) = (self.state, heard.word) {
+        if let (LimitState::Free, LimitSignal::Rate(rate)) = (self.state, heard.signal) {
             // Nothing more is sent without a permit, whoever divides knows of it or not.
             self.state = LimitState::Limited(rate);
         }
@@ -98,13 +98,13 @@
         self.state = state;
         self.denied_until = now;
         let word = match state {
-            LimitState::Limited(rate) => LimitWord::Rate(rate),
-            LimitState::Free | LimitState::Easing => LimitWord::Unlimited,
+            LimitState::Limited(rate) => LimitSignal::Rate(rate),
+            LimitState::Free | LimitState::Easing => LimitSignal::Unlimited,
         };
-        self.heard = Some(HeardWord {
-            word,
-            sent: now,
-            heard: now,
+        self.heard = Some(LimitObservation {
+            signal: word,
+            sent_at: now,
+            received_at: now,
         });
     }
 
--- a/packages/turnford-policy/src/route/limit_word.rs
+++ b/packages/turnford-policy/src/route/limit_word.rs
@@ -7,19 +7,19 @@
 
 /// What a target's answer says of its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum LimitWord {
+pub enum LimitSignal {
     /// It names none.
     Unlimited,
     /// Calls a second that it takes from all nodes together.
     Rate(CallRate),
 }
 
-impl LimitWord {
+impl LimitSignal {
     /// Returns the rate that it names, `None` if it names none.
     pub fn rate(self) -> Option<CallRate> {
         match self {
-            LimitWord::Unlimited => None,
-            LimitWord::Rate(rate) => Some(rate),
+            LimitSignal::Unlimited => None,
+            LimitSignal::Rate(rate) => Some(rate),
         }
     }
 
@@ -30,11 +30,11 @@
     }
 }
 
-impl fmt::Display for LimitWord {
+impl fmt::Display for LimitSignal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LimitWord::Unlimited => f.write_str("none"),
-            LimitWord::Rate(rate) => write!(f, "{rate}/s"),
+            LimitSignal::Unlimited => f.write_str("none"),
+            LimitSignal::Rate(rate) => write!(f, "{rate}/s"),
         }
     }
 }
--- a/packages/turnford-policy/src/route/list.rs
+++ b/packages/turnford-policy/src/route/list.rs
@@ -12,8 +12,8 @@
 use super::gone::GoneLog;
 use super::target_news::ExpiredTargets;
 use super::target_news::ListedTarget;
-use super::target_news::TargetNews;
-use super::StorePlace;
+use super::target_news::TargetUpdate;
+use super::StorePosition;
 use super::TargetSpec;
 
 /// Time after the store's return in which targets whose entries lapsed meanwhile write them anew.
@@ -46,9 +46,9 @@
     /// Until when a missing entry may only have lapsed.
     returning_until: Moment,
     /// Place in the store's history up to which changes are known.
-    place: StorePlace,
+    place: StorePosition,
     /// Place that was known when a target changed last.
-    changed_at: StorePlace,
+    changed_at: StorePosition,
     /// Entries that were not written since the store came back from a copy, as it has them.
     copied: BTreeMap<TargetId, TargetSpec>,
     /// Processes that ended.
@@ -63,13 +63,13 @@
 
 impl TargetList {
     /// Returns the place in the store's history up to which changes are known.
-    pub fn place(&self) -> StorePlace {
+    pub fn position(&self) -> StorePosition {
         self.place
     }
 
     /// Returns the place that was known when a target changed last. A node that knows the store up
     /// to this place has missed nothing that this one knows.
-    pub fn changed_at(&self) -> StorePlace {
+    pub fn changed_at(&self) -> StorePosition {
         self.changed_at
     }
 
@@ -84,12 +84,12 @@
     }
 
     /// Notes that the store does not answer.
-    pub fn note_lost(&mut self, now: Moment) {
+    pub fn record_store_lost(&mut self, now: Moment) {
         self.lost_at.get_or_insert(now);
     }
 
     /// Notes that the store answers again.
-    pub fn note_regained(&mut self, now: Moment) {
+    pub fn record_store_recovered(&mut self, now: Moment) {
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
@@ -111,7 +111,10 @@
     fn insert(&mut self, target: TargetSpec) {
         let was_lapsed = self.lapsed.remove(&target.id).is_some();
         let old = self.targets.insert(target.id.clone(), target.clone());
-        if let Some(old) = old.as_ref().filter(|old| old.born != target.born) {
+        if let Some(old) = old
+            .as_ref()
+            .filter(|old| old.process_start != target.process_start)
+        {
             self.gone.note(old, self.place.era);
         }
         if was_lapsed || old.as_ref() != Some(&target) {
@@ -136,7 +139,7 @@
     }
 
     /// Drops a target whose entry can't be understood.
-    pub fn reject(&mut self, id: &str) {
+    pub fn remove_invalid(&mut self, id: &str) {
         if let Some(target) = self.targets.get(id) {
             let id = target.id.clone();
             self.drop_target(&id);
@@ -145,7 +148,7 @@
 
     /// Takes all entries as of a place. Where the store came back from a copy, what is missing may be
     /// written again, and what is there may be older than what is known.
-    pub fn take_whole(&mut self, now: Moment, place: StorePlace, entries: Vec<TargetSpec>) {
+    pub fn replace_all(&mut self, now: Moment, place: StorePosition, entries: Vec<TargetSpec>) {
         let is_new_era = self.enter(now, place);
         let listed: BTreeSet<&TargetId> = entries.iter().map(|entry| &entry.id).collect();
         for id in self.ids_beside(&listed) {
@@ -167,14 +170,14 @@
     }
 
     /// Goes on to a place; true if it is of another era.
-    fn enter(&mut self, now: Moment, place: StorePlace) -> bool {
+    fn enter(&mut self, now: Moment, place: StorePosition) -> bool {
         let is_new_era = place.era > self.place.era;
         if is_new_era {
             self.returning_until = now + RETURN_SPAN;
             self.doubted.clear();
             self.copied.clear();
         }
-        self.note_place(place);
+        self.advance_to(place);
         is_new_era
     }
 
@@ -183,7 +186,7 @@
     fn take_copied(&mut self, now: Moment, entry: TargetSpec) {
         let id = entry.id.clone();
         let known = self.targets.get(&id);
-        if known.is_some_and(|known| known.born > entry.born) {
+        if known.is_some_and(|known| known.process_start > entry.process_start) {
             // What runs under its id since is missing from the copy.
             self.remove(now, &id);
             return;
@@ -206,7 +209,7 @@
     /// a copy.
     fn is_older(&self, entry: &TargetSpec) -> bool {
         let known = self.targets.get(&entry.id);
-        let is_replaced = known.is_some_and(|known| known.born > entry.born);
+        let is_replaced = known.is_some_and(|known| known.process_start > entry.process_start);
         is_replaced || self.gone.has_before(entry, self.place.era)
     }
 
@@ -227,7 +230,7 @@
     /// Returns an entry that may be older than what is known of its process, with that.
     fn keep_words(&self, entry: TargetSpec) -> TargetSpec {
         let known = self.targets.get(&entry.id);
-        let known = known.filter(|known| known.born == entry.born);
+        let known = known.filter(|known| known.process_start == entry.process_start);
         let Some(known) = known else {
             return entry;
         };
@@ -239,19 +242,19 @@
     }
 
     /// Notes that changes are known up to a place.
-    pub fn note_place(&mut self, place: StorePlace) {
+    pub fn advance_to(&mut self, place: StorePosition) {
         self.place = self.place.max(place);
     }
 
     /// Takes what another node knows up to a place; false if this one knows more, or can't go on from
     /// its own place.
-    pub fn adopt(&mut self, now: Moment, place: StorePlace, news: TargetNews) -> bool {
+    pub fn apply_update(&mut self, now: Moment, place: StorePosition, news: TargetUpdate) -> bool {
         let is_other_era = place.era != self.place.era;
-        if place < self.place || (is_other_era && !news.is_whole) {
+        if place < self.place || (is_other_era && !news.is_full) {
             return false;
         }
         let is_new_era = self.enter(now, place);
-        if news.is_whole {
+        if news.is_full {
             let listed = news.listed.iter().map(|listed| &listed.spec.id);
             for id in self.ids_beside(&listed.collect()) {
                 if is_new_era {
@@ -261,13 +264,13 @@
                 }
             }
         }
-        for id in &news.gone {
+        for id in &news.removed {
             self.drop_target(id);
         }
         for listed in news.listed {
-            match listed.gone_at {
+            match listed.expires_at {
                 Some(gone_at) => self.take_lapsed(now, listed.spec, gone_at),
-                None if listed.is_copied => self.take_copied(now, listed.spec),
+                None if listed.is_restored => self.take_copied(now, listed.spec),
                 None => self.put(listed.spec),
             }
         }
@@ -277,7 +280,7 @@
     /// Takes a target that lapsed at another node, which tells nothing newer of it than this one knows.
     fn take_lapsed(&mut self, now: Moment, target: TargetSpec, gone_at: Moment) {
         let known = self.targets.get(&target.id);
-        let is_older = known.is_some_and(|known| known.born > target.born);
+        let is_older = known.is_some_and(|known| known.process_start > target.process_start);
         if is_older || self.gone.has(&target) {
             // What runs under its id since has no entry there either.
             self.remove(now, &target.id);
@@ -290,14 +293,14 @@
     }
 
     /// Returns what is new since a change, or everything for a node that has never asked.
-    pub fn news_since(&self, after: Option<ChangeNumber>) -> TargetNews {
+    pub fn updates_since(&self, after: Option<ChangeNumber>) -> TargetUpdate {
         let behind = after.and_then(|after| self.newest.checked_sub(after));
         let behind = behind.and_then(|behind| usize::try_from(behind).ok());
         let Some(behind) = behind.filter(|behind| *behind <= self.changes.len()) else {
-            return TargetNews {
-                is_whole: true,
+            return TargetUpdate {
+                is_full: true,
                 listed: self.targets.keys().map(|id| self.listed(id)).collect(),
-                gone: Vec::new(),
+                removed: Vec::new(),
             };
         };
         let mut ids: Vec<&TargetId> = self.changes.iter().rev().take(behind).collect();
@@ -306,28 +309,33 @@
         let (listed, gone): (Vec<&TargetId>, Vec<&TargetId>) = ids
             .into_iter()
             .partition(|id| self.targets.contains_key(*id));
-        TargetNews {
-            is_whole: false,
+        TargetUpdate {
+            is_full: false,
             listed: listed.into_iter().map(|id| self.listed(id)).collect(),
-            gone: gone.into_iter().cloned().collect(),
+            removed: gone.into_iter().cloned().collect(),
         }
     }
 
     /// Drops lapsed targets that did not return, takes those back that live, and returns both.
     pub fn expire(&mut self, now: Moment) -> ExpiredTargets {
         let due = self.lapsed.iter().filter(|(_, until)| **until <= now);
-        let gone: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
-        for id in &gone {
+        let removed: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
+        for id in &removed {
             self.drop_target(id);
         }
         let due = self.doubted.iter().filter(|(_, until)| **until <= now);
-        let back: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
-        let entries = back.iter().filter_map(|id| self.copied.get(id).cloned());
+        let reinstated: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
+        let entries = reinstated
+            .iter()
+            .filter_map(|id| self.copied.get(id).cloned());
         let entries: Vec<TargetSpec> = entries.collect();
         for entry in entries {
             self.put(entry);
         }
-        ExpiredTargets { gone, back }
+        ExpiredTargets {
+            removed,
+            reinstated,
+        }
     }
 
     fn listed(&self, id: &TargetId) -> ListedTarget {
@@ -338,8 +346,8 @@
             .filter(|_| self.doubted.contains_key(id));
         ListedTarget {
             spec: copied.unwrap_or(&self.targets[id]).clone(),
-            gone_at: self.lapsed.get(id).copied(),
-            is_copied: self.copied.contains_key(id),
+            expires_at: self.lapsed.get(id).copied(),
+            is_restored: self.copied.contains_key(id),
         }
     }
 
--- a/packages/turnford-policy/src/route/piece_work.rs
+++ b/packages/turnford-policy/src/route/piece_work.rs
@@ -25,7 +25,7 @@
     /// Piece of the stage.
     pub piece: u32,
     /// What a first stage needs to begin.
-    pub key: Option<Arc<str>>,
+    pub piece_key: Option<Arc<str>>,
     /// Results that it needs.
     pub inputs: Arc<[String]>,
     /// When it is no longer wanted.
@@ -39,13 +39,13 @@
     /// Hall in which it should run, near what it needs or what needs it.
     pub hall: Option<Arc<str>>,
     /// Until when it waits for a target in that hall.
-    pub hall_until: Moment,
+    pub hall_deadline: Moment,
 }
 
 impl PieceWork {
     /// Tells whether a target in a hall may run it now.
     pub(super) fn suits(&self, now: Moment, hall: &str, is_crowded: bool) -> bool {
-        is_crowded || self.is_near(hall) || self.hall.is_none() || self.hall_until <= now
+        is_crowded || self.is_near(hall) || self.hall.is_none() || self.hall_deadline <= now
     }
 
     /// Tells whether it may share a call with another piece.
--- a/packages/turnford-policy/src/route/place.rs
+++ b/packages/turnford-policy/src/route/place.rs
@@ -17,21 +17,21 @@
     bincode::Encode,
     bincode::Decode,
 )]
-pub struct StorePlace {
+pub struct StorePosition {
     /// How often the store came back from a copy.
     pub era: u64,
     /// Revision of the store in that era.
     pub revision: u64,
 }
 
-impl StorePlace {
+impl StorePosition {
     /// Returns the place of a revision in an era.
     pub fn new(era: u64, revision: u64) -> Self {
         Self { era, revision }
     }
 }
 
-impl fmt::Display for StorePlace {
+impl fmt::Display for StorePosition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.era, self.revision)
     }
--- a/packages/turnford-policy/src/route/reading.rs
+++ b/packages/turnford-policy/src/route/reading.rs
@@ -6,7 +6,7 @@
 use crate::Moment;
 
 use super::engine::RunTicket;
-use super::SpanLine;
+use super::LatencyModel;
 
 /// A prompt that is not read yet.
 #[derive(Clone, Copy, Debug)]
@@ -47,11 +47,11 @@
     /// Returns the span until all of them are read at an engine that takes so many times the usual
     /// span. An engine that is overdue is expected to need as long again: so one that hangs gets
     /// nothing more long before its calls end.
-    pub(crate) fn wait(&self, now: Moment, line: &SpanLine, slowness: f64) -> Duration {
+    pub(crate) fn wait(&self, now: Moment, line: &LatencyModel, slowness: f64) -> Duration {
         let Some(front) = self.waiting.front() else {
             return Duration::ZERO;
         };
-        let first = line.span(front.tokens as f64).mul_f64(slowness);
+        let first = line.predict(front.tokens as f64).mul_f64(slowness);
         let begun = front.placed.max(self.last_read);
         let first = first.abs_diff(now.saturating_sub(begun));
         let tokens: u64 = self.waiting.iter().skip(1).map(|read| read.tokens).sum();
--- a/packages/turnford-policy/src/route/span_line.rs
+++ b/packages/turnford-policy/src/route/span_line.rs
@@ -16,7 +16,7 @@
 
 /// A line through the sizes and spans that were seen, the newest counting most.
 #[derive(Clone, Debug)]
-pub struct SpanLine {
+pub struct LatencyModel {
     weight: f64,
     sizes: f64,
     spans: f64,
@@ -26,7 +26,7 @@
     start: (f64, f64, f64),
 }
 
-impl SpanLine {
+impl LatencyModel {
     /// Makes a line from what is thought at the start: the span of nothing, and that of a usual
     /// size.
     ///
@@ -46,8 +46,8 @@
     }
 
     /// Learns the span of something of a size.
-    pub fn note(&mut self, size: f64, span: Duration) {
-        let expected = self.span(size).as_secs_f64();
+    pub fn observe(&mut self, size: f64, span: Duration) {
+        let expected = self.predict(size).as_secs_f64();
         let span = span.as_secs_f64();
         let span = span.clamp(expected / LARGEST_FACTOR, expected * LARGEST_FACTOR);
         for sum in [
@@ -67,7 +67,7 @@
     }
 
     /// Returns the expected span of something of a size.
-    pub fn span(&self, size: f64) -> Duration {
+    pub fn predict(&self, size: f64) -> Duration {
         let (base, slope) = self.fit();
         Duration::from_secs_f64(base + slope * size)
     }
--- a/packages/turnford-policy/src/route/table.rs
+++ b/packages/turnford-policy/src/route/table.rs
@@ -51,7 +51,7 @@
     }
 
     /// Tells whether requests need a key.
-    pub fn needs_keys(&self) -> bool {
+    pub fn requires_key(&self) -> bool {
         self.keys.is_some()
     }
 
--- a/packages/turnford-policy/src/route/target_calls.rs
+++ b/packages/turnford-policy/src/route/target_calls.rs
@@ -2,13 +2,13 @@
 
 use crate::Moment;
 
-use super::TargetBirth;
+use super::ProcessStart;
 
 /// Calls of one target that are under way.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TargetCalls {
     /// Start of the target's process, once it was looked up.
-    pub(super) born: Option<TargetBirth>,
+    pub(super) born: Option<ProcessStart>,
     /// Calls under way at its process of before, whose ends are still to come.
     pub(super) stale: usize,
     /// Ends that the calls are expected to have, in the order of their start.
--- a/packages/turnford-policy/src/route/target_news.rs
+++ b/packages/turnford-policy/src/route/target_news.rs
@@ -11,28 +11,28 @@
     /// The target.
     pub spec: TargetSpec,
     /// When it counts as gone unless its entry comes back; `None` while its entry is there.
-    pub gone_at: Option<Moment>,
+    pub expires_at: Option<Moment>,
     /// Whether its entry was not written since the store came back from a copy, so that it may be older
     /// than what others know.
-    pub is_copied: bool,
+    pub is_restored: bool,
 }
 
 /// What one node tells another of the targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TargetNews {
+pub struct TargetUpdate {
     /// Whether these are all targets, or only those that changed.
-    pub is_whole: bool,
+    pub is_full: bool,
     /// Targets that are new or changed.
     pub listed: Vec<ListedTarget>,
     /// Targets that are gone.
-    pub gone: Vec<TargetId>,
+    pub removed: Vec<TargetId>,
 }
 
 /// Targets whose time ran out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExpiredTargets {
     /// Targets that lapsed and did not return.
-    pub gone: Vec<TargetId>,
+    pub removed: Vec<TargetId>,
     /// Targets that had been gone before the store came back from a copy, and live.
-    pub back: Vec<TargetId>,
+    pub reinstated: Vec<TargetId>,
 }
--- a/packages/turnford-policy/tests/batch_board.rs
+++ b/packages/turnford-policy/tests/batch_board.rs
@@ -3,31 +3,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use turnford_policy::BatchBoard;
+use turnford_policy::BatchScheduler;
 use turnford_policy::BatchSpec;
 use turnford_policy::PieceWork;
 use turnford_policy::RequestDigest;
-use turnford_policy::TargetBoard;
 use turnford_policy::TargetSpec;
+use turnford_policy::TargetTable;
 
 const MS: Duration = Duration::from_millis(1);
 
 fn spec() -> BatchSpec {
     BatchSpec {
         slots: 1,
-        queue: 2,
-        piece_limit: 4,
-        call_span: 200 * MS,
-        piece_span: 20 * MS,
-        result_room: 10_000,
-        result_span: 4000 * MS,
+        queue_limit: 2,
+        max_pieces: 4,
+        call_overhead: 200 * MS,
+        piece_time: 20 * MS,
+        result_capacity: 10_000,
+        result_ttl: 4000 * MS,
     }
 }
 
 fn target(id: &str, hall: &str) -> TargetSpec {
     TargetSpec {
         id: Arc::from(id),
-        born: 0,
+        process_start: 0,
         service: Arc::from("kort"),
         address: "127.0.0.1:1".parse().expect("an address"),
         hall: Arc::from(hall),
@@ -38,12 +38,12 @@
 }
 
 /// A board whose targets are known.
-fn board(targets: &[TargetSpec]) -> (BatchBoard, TargetBoard) {
-    let mut batches = BatchBoard::new(spec());
-    let mut board = TargetBoard::default();
+fn board(targets: &[TargetSpec]) -> (BatchScheduler, TargetTable) {
+    let mut batches = BatchScheduler::new(spec());
+    let mut board = TargetTable::default();
     board.set_targets(targets.iter());
     for target in targets {
-        batches.note_report(Duration::ZERO, &target.id, u64::MAX);
+        batches.record_report(Duration::ZERO, &target.id, u64::MAX);
     }
     (batches, board)
 }
@@ -55,14 +55,14 @@
         attempt: Arc::from(attempt),
         stage: 0,
         piece: 0,
-        key: None,
+        piece_key: None,
         inputs: Arc::from([]),
         deadline: 8000 * MS,
         due: due * MS,
         ranks: (rank, 0),
         result_bytes: 100,
         hall: None,
-        hall_until: Duration::ZERO,
+        hall_deadline: Duration::ZERO,
     }
 }
 
@@ -83,10 +83,10 @@
         batches.plan(2 * MS, &board, &targets).0.is_empty(),
         "it is busy"
     );
-    batches.note_ended(220 * MS, &targets[0].id, 100, std::iter::empty());
+    batches.record_end(220 * MS, &targets[0].id, 100, std::iter::empty());
     let (plans, _) = batches.plan(220 * MS, &board, &targets);
     assert_eq!(plans[0].pieces.len(), 4);
-    assert_eq!(batches.waiting(), 2);
+    assert_eq!(batches.queue_len(), 2);
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let (mut batches, board) = board(&targets);
     let near = PieceWork {
         hall: Some(Arc::from("b")),
-        hall_until: 300 * MS,
+        hall_deadline: 300 * MS,
         ..work("near", 3000, 0)
     };
     batches.push(near.clone());
@@ -132,7 +132,7 @@
     // The near one is busy: for a while the piece waits, then any target will do.
     batches.push(PieceWork { piece: 2, ..near });
     assert!(batches.plan(10 * MS, &board, &targets).0.is_empty());
-    assert_eq!(batches.next_look(10 * MS), Some(300 * MS));
+    assert_eq!(batches.next_wakeup(10 * MS), Some(300 * MS));
     let (plans, _) = batches.plan(300 * MS, &board, &targets);
     assert_eq!(&*plans[0].target, "k1");
 }
@@ -151,12 +151,12 @@
     let (plans, _) = batches.plan(MS, &board, &targets);
     assert_eq!(plans[0].pieces.len(), 2, "two of 4000 fit into 9200");
     let kept = [("h1", 4000), ("h2", 4000)];
-    batches.note_ended(300 * MS, &targets[0].id, 8000, kept.into_iter());
+    batches.record_end(300 * MS, &targets[0].id, 8000, kept.into_iter());
     assert!(
         batches.plan(300 * MS, &board, &targets).0.is_empty(),
         "no room"
     );
-    batches.note_released("h1");
+    batches.record_release("h1");
     assert_eq!(batches.plan(310 * MS, &board, &targets).0.len(), 1);
 }
 
@@ -164,8 +164,8 @@
 fn others_results() {
     // A target that others used before tells how much room they left.
     let targets = [target("k1", "a")];
-    let mut batches = BatchBoard::new(spec());
-    let mut board = TargetBoard::default();
+    let mut batches = BatchScheduler::new(spec());
+    let mut board = TargetTable::default();
     board.set_targets(targets.iter());
     let large = PieceWork {
         result_bytes: 4000,
@@ -177,12 +177,12 @@
         batches.plan(MS, &board, &targets).0.is_empty(),
         "it is not known"
     );
-    assert_eq!(batches.take_unknown(MS, &targets).len(), 1);
+    assert_eq!(batches.take_unreported(MS, &targets).len(), 1);
     assert!(
-        batches.take_unknown(MS, &targets).is_empty(),
+        batches.take_unreported(MS, &targets).is_empty(),
         "it is asked once"
     );
-    batches.note_report(MS, &targets[0].id, 5000);
+    batches.record_report(MS, &targets[0].id, 5000);
     assert_eq!(batches.plan(MS, &board, &targets).0[0].pieces.len(), 1);
 }
 
@@ -193,11 +193,11 @@
     batches.push(work("w", 3000, 0));
     let (plans, _) = batches.plan(MS, &board, &targets);
     let (ticket, piece) = plans[0].pieces[0].clone();
-    batches.note_full(MS, "k1");
-    batches.note_ended(MS, &targets[0].id, 100, std::iter::empty());
-    batches.put_back(ticket, piece);
+    batches.record_refusal(MS, "k1");
+    batches.record_end(MS, &targets[0].id, 100, std::iter::empty());
+    batches.requeue(ticket, piece);
     assert!(batches.plan(2 * MS, &board, &targets).0.is_empty());
-    let look = batches.next_look(2 * MS).expect("a look");
+    let look = batches.next_wakeup(2 * MS).expect("a look");
     assert_eq!(batches.plan(look, &board, &targets).0.len(), 1);
 }
 
@@ -205,8 +205,8 @@
 fn slow_spared() {
     let targets = [target("k1", "a"), target("k2", "a")];
     let (mut batches, mut board) = board(&targets);
-    board.note_slowness(MS, "k1", 5.0);
-    board.note_slowness(MS, "k2", 1.0);
+    board.record_slowness(MS, "k1", 5.0);
+    board.record_slowness(MS, "k2", 1.0);
     batches.push(work("w", 3000, 0));
     assert_eq!(&*batches.plan(MS, &board, &targets).0[0].target, "k2");
     batches.push(work("x", 3000, 0));
--- a/packages/turnford-policy/tests/engine_board.rs
+++ b/packages/turnford-policy/tests/engine_board.rs
@@ -3,19 +3,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use turnford_policy::EngineBoard;
-use turnford_policy::PlaceNeed;
-use turnford_policy::PromptPart;
-use turnford_policy::TargetBoard;
+use turnford_policy::EngineScheduler;
+use turnford_policy::PlacementRequest;
+use turnford_policy::PromptSegment;
 use turnford_policy::TargetSpec;
+use turnford_policy::TargetTable;
 
 const MS: Duration = Duration::from_millis(1);
 
-fn board(count: usize) -> TargetBoard {
+fn board(count: usize) -> TargetTable {
     let targets: Vec<TargetSpec> = (0..count)
         .map(|number| TargetSpec {
             id: Arc::from(format!("s{number}")),
-            born: 0,
+            process_start: 0,
             service: Arc::from("sprog"),
             address: "127.0.0.1:1".parse().expect("an address"),
             hall: Arc::from(if number % 2 == 0 { "a" } else { "b" }),
@@ -24,23 +24,23 @@
             leaving: false,
         })
         .collect();
-    let mut board = TargetBoard::default();
+    let mut board = TargetTable::default();
     board.set_targets(targets.iter());
     board
 }
 
-fn engines() -> EngineBoard {
-    let mut engines = EngineBoard::default();
+fn engines() -> EngineScheduler {
+    let mut engines = EngineScheduler::default();
     engines.set_capacity(280_000);
     engines
 }
 
-fn need(subject: u64, own: u64) -> PlaceNeed {
-    let part = |id, tokens| PromptPart { id, tokens };
-    PlaceNeed {
-        parts: vec![part(1, 2500), part(subject, 3700), part(own, 2900)],
+fn need(subject: u64, own: u64) -> PlacementRequest {
+    let part = |id, tokens| PromptSegment { id, tokens };
+    PlacementRequest {
+        segments: vec![part(1, 2500), part(subject, 3700), part(own, 2900)],
         prompt_tokens: 9100,
-        answer_tokens: 100,
+        max_output_tokens: 100,
         inputs: Vec::new(),
         tried: Vec::new(),
         due: 1600 * MS,
@@ -53,8 +53,8 @@
     let board = board(12);
     let mut engines = engines();
     let (first, ticket) = engines.place(MS, &board, &need(7, 100)).expect("a place");
-    engines.note_begun(ticket, 400 * MS);
-    engines.note_ended(ticket);
+    engines.record_first_event(ticket, 400 * MS);
+    engines.record_end(ticket);
     let (second, _) = engines
         .place(1000 * MS, &board, &need(7, 101))
         .expect("a place");
@@ -97,13 +97,13 @@
     let board = board(2);
     let mut engines = engines();
     let (first, _) = engines.place(MS, &board, &need(7, 1)).expect("a place");
-    let again = PlaceNeed {
+    let again = PlacementRequest {
         tried: vec![first.id.clone()],
         ..need(7, 1)
     };
     let (second, _) = engines.place(MS, &board, &again).expect("a place");
     assert_ne!(first.id, second.id);
-    let all = PlaceNeed {
+    let all = PlacementRequest {
         tried: vec![first.id, second.id],
         ..need(7, 1)
     };
@@ -114,8 +114,8 @@
 fn near_inputs() {
     let board = board(2);
     let mut engines = engines();
-    let near = PlaceNeed {
-        parts: vec![PromptPart { id: 9, tokens: 100 }],
+    let near = PlacementRequest {
+        segments: vec![PromptSegment { id: 9, tokens: 100 }],
         prompt_tokens: 100,
         inputs: vec![(Arc::from("b"), 4_000_000)],
         ..need(7, 1)
@@ -123,7 +123,7 @@
     for _ in 0..3 {
         let (target, ticket) = engines.place(MS, &board, &near).expect("a place");
         assert_eq!(&*target.hall, "b");
-        engines.note_ended(ticket);
+        engines.record_end(ticket);
     }
 }
 
--- a/packages/turnford-policy/tests/engine_speed.rs
+++ b/packages/turnford-policy/tests/engine_speed.rs
@@ -8,15 +8,15 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 use rand::SeedableRng;
-use turnford_policy::EngineBoard;
+use turnford_policy::EngineScheduler;
+use turnford_policy::LatencyModel;
 use turnford_policy::Moment;
-use turnford_policy::PlaceNeed;
-use turnford_policy::PromptPart;
+use turnford_policy::PlacementRequest;
+use turnford_policy::PromptSegment;
 use turnford_policy::RunTicket;
-use turnford_policy::SpanLine;
-use turnford_policy::TargetBoard;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
+use turnford_policy::TargetTable;
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -42,8 +42,8 @@
 
 impl Engines {
     /// Reads a prompt; returns when its first event comes.
-    fn read(&mut self, now: Moment, target: &TargetId, need: &PlaceNeed) -> Moment {
-        let (own, shared) = need.parts.split_last().expect("a prompt");
+    fn read(&mut self, now: Moment, target: &TargetId, need: &PlacementRequest) -> Moment {
+        let (own, shared) = need.segments.split_last().expect("a prompt");
         let mut tokens = own.tokens;
         for part in shared {
             if self.kept.insert((target.clone(), part.id)) {
@@ -58,11 +58,11 @@
     }
 }
 
-fn targets() -> TargetBoard {
+fn targets() -> TargetTable {
     let targets: Vec<TargetSpec> = (0..ENGINES)
         .map(|number| TargetSpec {
             id: Arc::from(format!("s{number}")),
-            born: 0,
+            process_start: 0,
             service: Arc::from("sprog"),
             address: "127.0.0.1:1".parse().expect("an address"),
             hall: Arc::from("a"),
@@ -71,7 +71,7 @@
             leaving: false,
         })
         .collect();
-    let mut board = TargetBoard::default();
+    let mut board = TargetTable::default();
     board.set_targets(targets.iter());
     board
 }
@@ -80,7 +80,7 @@
 fn play(speed: f64, slow: &[(&str, f64)], seed: u64) -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut board = targets();
-    let mut boards = EngineBoard::default();
+    let mut boards = EngineScheduler::default();
     boards.set_capacity(400_000);
     let mut engines = Engines {
         speed,
@@ -103,22 +103,22 @@
         running.sort_unstable();
         while let Some(&(came, ticket, placed)) = running.first().filter(|run| run.0 <= now) {
             running.remove(0);
-            let slowness = boards.note_begun(ticket, came - placed);
+            let slowness = boards.record_first_event(ticket, came - placed);
             if let (Some(slowness), Some(target)) = (slowness, boards.target_of(ticket)) {
-                board.note_slowness(came, target, slowness);
+                board.record_slowness(came, target, slowness);
             }
-            boards.note_ended(ticket);
+            boards.record_end(ticket);
         }
-        let part = |id, tokens| PromptPart { id, tokens };
+        let part = |id, tokens| PromptSegment { id, tokens };
         let own = (mean_tokens * 2.0 * rng.random::<f64>()) as u64 + 1;
-        let need = PlaceNeed {
-            parts: vec![
+        let need = PlacementRequest {
+            segments: vec![
                 part(1 + number % 3, 2500),
                 part(100 + number % 40, 1500),
                 part(1000 + number, own),
             ],
             prompt_tokens: 4000 + own,
-            answer_tokens: 60,
+            max_output_tokens: 60,
             inputs: Vec::new(),
             tried: Vec::new(),
             due: now + patience,
@@ -155,14 +155,14 @@
 #[test]
 fn line_learned() {
     for speed in SPEEDS {
-        let mut line = SpanLine::new(15 * MS, 2000.0, 115 * MS);
+        let mut line = LatencyModel::new(15 * MS, 2000.0, 115 * MS);
         let span = |tokens: f64| LAG + Duration::from_secs_f64(tokens / speed / 1000.0);
         for number in 0..80 {
             let tokens = f64::from(500 + number % 7 * 700);
-            line.note(tokens, span(tokens));
+            line.observe(tokens, span(tokens));
         }
         for tokens in [800.0, 3000.0, 9000.0] {
-            let ratio = line.span(tokens).as_secs_f64() / span(tokens).as_secs_f64();
+            let ratio = line.predict(tokens).as_secs_f64() / span(tokens).as_secs_f64();
             assert!(
                 (0.93..1.07).contains(&ratio),
                 "{ratio:.2} of the span of {tokens} tokens at {speed} tokens a ms"
@@ -174,12 +174,12 @@
 #[test]
 fn line_robust() {
     // One size alone, and a target that hangs now and then, leave the line sound.
-    let mut line = SpanLine::new(15 * MS, 2000.0, 115 * MS);
+    let mut line = LatencyModel::new(15 * MS, 2000.0, 115 * MS);
     for number in 0..200 {
         let hangs = number % 25 == 0;
-        line.note(1000.0, if hangs { 5000 * MS } else { 60 * MS });
+        line.observe(1000.0, if hangs { 5000 * MS } else { 60 * MS });
     }
-    let span = line.span(1000.0);
+    let span = line.predict(1000.0);
     assert!((55 * MS..75 * MS).contains(&span), "{span:?}");
     assert!(line.slope() >= 0.0);
 }
--- a/packages/turnford-policy/tests/retry_window.rs
+++ b/packages/turnford-policy/tests/retry_window.rs
@@ -53,11 +53,11 @@
                 restarted += 1;
             }
             for _ in 0..step.firsts {
-                nodes[step.node].note_first(now);
+                nodes[step.node].record_first_attempt(now);
                 firsts.push(now);
             }
             for _ in 0..step.repeats {
-                if nodes[step.node].take(now) {
+                if nodes[step.node].try_take(now) {
                     repeats.push(now);
                 }
             }
@@ -75,8 +75,8 @@
 #[test]
 fn all_or_none() {
     let mut allowance = RetryAllowance::new(WINDOW, RATIO, 3.0);
-    assert!(!allowance.take_many(Duration::ZERO, 4));
-    assert!(allowance.take_many(Duration::ZERO, 3));
-    assert!(!allowance.take(Duration::from_secs(9)));
-    assert!(allowance.take(Duration::from_secs(11)));
+    assert!(!allowance.try_take_many(Duration::ZERO, 4));
+    assert!(allowance.try_take_many(Duration::ZERO, 3));
+    assert!(!allowance.try_take(Duration::from_secs(9)));
+    assert!(allowance.try_take(Duration::from_secs(11)));
 }
--- a/packages/turnford-policy/tests/route_table.rs
+++ b/packages/turnford-policy/tests/route_table.rs
@@ -19,15 +19,15 @@
         prefix: prefix.to_owned(),
         kind: CallKind::Safe,
         timeout: Duration::from_secs(1),
-        goal: Duration::from_secs(1),
-        pause_goal: None,
-        first_patience: None,
+        latency_objective: Duration::from_secs(1),
+        gap_objective: None,
+        first_event_timeout: None,
         rank: 0,
         shares: vec![ServiceShare {
             service: Arc::from("s"),
             weight: 1.0,
         }],
-        target_limit: 1,
+        max_targets: 1,
         stages: Vec::new(),
         anonymous: false,
         resumable: false,
@@ -70,7 +70,7 @@
 #[test]
 fn known_keys() {
     let table = table();
-    assert!(table.needs_keys());
+    assert!(table.requires_key());
     let grant = table.grant("k2").expect("a grant");
     assert_eq!((&*grant.account, grant.rank), ("skagen", Some(1)));
     assert_eq!(table.grant("k3"), None);
@@ -88,9 +88,9 @@
 fn stage_order() {
     let stages = [stage(&[]), stage(&[]), stage(&[1]), stage(&[2])];
     let graph = StageGraph::new(&stages, |_| 2);
-    assert_eq!(graph.last(), [0, 3]);
+    assert_eq!(graph.sinks(), [0, 3]);
     assert_eq!(graph.inputs(2), [1]);
-    assert_eq!(graph.users(1).collect::<Vec<_>>(), [2]);
+    assert_eq!(graph.dependents(1).collect::<Vec<_>>(), [2]);
 }
 
 #[test]
@@ -98,6 +98,6 @@
     let stages = [stage(&[]), stage(&[0]), stage(&[1])];
     let graph = StageGraph::new(&stages, |number| u32::from(number != 1));
     assert_eq!(graph.inputs(2), [] as [usize; 0]);
-    assert_eq!(graph.last(), [0, 2]);
+    assert_eq!(graph.sinks(), [0, 2]);
     assert!(StageGraph::new(&stages, |_| 0).is_empty());
 }
--- a/packages/turnford-policy/tests/store_eras.rs
+++ b/packages/turnford-policy/tests/store_eras.rs
@@ -10,11 +10,11 @@
 use common::histories;
 use proptest::prelude::*;
 use turnford_policy::Moment;
-use turnford_policy::StorePlace;
+use turnford_policy::StorePosition;
 use turnford_policy::TargetId;
 use turnford_policy::TargetList;
-use turnford_policy::TargetNews;
 use turnford_policy::TargetSpec;
+use turnford_policy::TargetUpdate;
 
 /// Time that passes with each step.
 const STEP: Duration = Duration::from_millis(100);
@@ -64,8 +64,8 @@
 /// Something that one node was sent and may get late or never.
 #[derive(Clone, Debug)]
 enum Message {
-    List(StorePlace, Vec<TargetSpec>),
-    News(StorePlace, TargetNews),
+    List(StorePosition, Vec<TargetSpec>),
+    News(StorePosition, TargetUpdate),
 }
 
 #[derive(Clone, Debug)]
@@ -121,8 +121,8 @@
 }
 
 impl World {
-    fn place(&self) -> StorePlace {
-        StorePlace::new(self.era, self.held.revision)
+    fn place(&self) -> StorePosition {
+        StorePosition::new(self.era, self.held.revision)
     }
 
     fn whole(&self) -> Message {
@@ -149,7 +149,7 @@
                 self.born += 1;
                 let spec = TargetSpec {
                     id: Arc::from(format!("t{number}")),
-                    born: self.born,
+                    process_start: self.born,
                     service: Arc::from("sprog"),
                     address: "127.0.0.1:1".parse().expect("an address"),
                     hall: Arc::from("a"),
@@ -188,8 +188,8 @@
             }
             Step::Watch(node) => self.watch(node),
             Step::Tell(from, to) => {
-                let news = self.lists[from].news_since(None);
-                let message = Message::News(self.lists[from].place(), news);
+                let news = self.lists[from].updates_since(None);
+                let message = Message::News(self.lists[from].position(), news);
                 self.messages.push((to, message));
             }
             Step::Deliver(number) => {
@@ -212,7 +212,7 @@
 
     /// Has a node ask for changes after its place; of another era it gets the whole list instead.
     fn watch(&mut self, node: usize) {
-        let from = self.lists[node].place();
+        let from = self.lists[node].position();
         if from.era != self.era || from.revision > self.held.revision {
             let message = self.whole();
             self.deliver(node, message);
@@ -222,7 +222,7 @@
         let changes = self.held.changes.iter();
         let new = changes.filter(|(revision, _, _)| *revision > from.revision);
         let new: Vec<Change> = new.cloned().collect();
-        self.lists[node].note_place(place);
+        self.lists[node].advance_to(place);
         for (_, id, spec) in new {
             match spec {
                 Some(spec) => self.lists[node].put(spec),
@@ -237,12 +237,12 @@
         match message {
             Message::List(place, entries) => {
                 // A follower drops what is older than its place.
-                if place >= list.place() {
-                    list.take_whole(self.now, place, entries);
+                if place >= list.position() {
+                    list.replace_all(self.now, place, entries);
                 }
             }
             Message::News(place, news) => {
-                list.adopt(self.now, place, news);
+                list.apply_update(self.now, place, news);
             }
         }
         self.note_heard(node);
@@ -250,8 +250,8 @@
 
     fn note_heard(&mut self, node: usize) {
         // As it would tell others: one that is closed since it was gone before said nothing itself.
-        for listed in self.lists[node].news_since(None).listed {
-            let process = (listed.spec.id.clone(), listed.spec.born);
+        for listed in self.lists[node].updates_since(None).listed {
+            let process = (listed.spec.id.clone(), listed.spec.process_start);
             let heard = self.heard[node].entry(process).or_default();
             *heard |= listed.spec.leaving;
         }
@@ -261,7 +261,7 @@
     fn check(&self) -> Result<(), TestCaseError> {
         for (list, heard) in self.lists.iter().zip(&self.heard) {
             for (id, spec) in list.targets() {
-                let has_left = heard.get(&(id.clone(), spec.born)) == Some(&true);
+                let has_left = heard.get(&(id.clone(), spec.process_start)) == Some(&true);
                 prop_assert!(spec.leaving || !has_left, "{} is open again", id);
             }
         }
--- a/packages/turnford-policy/tests/target_board.rs
+++ b/packages/turnford-policy/tests/target_board.rs
@@ -3,16 +3,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use turnford_policy::LoadMark;
-use turnford_policy::TargetBoard;
+use turnford_policy::LoadSample;
 use turnford_policy::TargetSpec;
+use turnford_policy::TargetTable;
 
 const MS: Duration = Duration::from_millis(1);
 
 fn target(id: &str) -> TargetSpec {
     TargetSpec {
         id: Arc::from(id),
-        born: 0,
+        process_start: 0,
         service: Arc::from("booking"),
         address: "127.0.0.1:1".parse().expect("an address"),
         hall: Arc::from("a"),
@@ -22,13 +22,13 @@
     }
 }
 
-fn board() -> TargetBoard {
-    let mut board = TargetBoard::default();
+fn board() -> TargetTable {
+    let mut board = TargetTable::default();
     board.set_targets([target("b1"), target("b2")].iter());
     board
 }
 
-fn chosen(board: &TargetBoard, now: Duration) -> String {
+fn chosen(board: &TargetTable, now: Duration) -> String {
     let choice = board.choose(now, &[], |_, load| load);
     choice.expect("a choice").id.to_string()
 }
@@ -36,13 +36,13 @@
 #[test]
 fn least_loaded() {
     let mut board = board();
-    board.note_sent("b1");
+    board.record_start("b1");
     assert_eq!(chosen(&board, MS), "b2");
-    board.note_sent("b2");
-    board.note_sent("b2");
+    board.record_start("b2");
+    board.record_start("b2");
     assert_eq!(chosen(&board, MS), "b1");
-    board.note_ended("b2");
-    board.note_ended("b2");
+    board.record_end("b2");
+    board.record_end("b2");
     assert_eq!(chosen(&board, MS), "b2");
 }
 
@@ -50,13 +50,13 @@
 fn told_load() {
     // What others have there counts, less and less with time.
     let mut board = board();
-    let mark = LoadMark {
+    let mark = LoadSample {
         running: 5,
         waiting: 3,
         slots: 6,
     };
-    board.note_load(MS, "b1", mark);
-    board.note_sent("b2");
+    board.record_load(MS, "b1", mark);
+    board.record_start("b2");
     assert_eq!(chosen(&board, 2 * MS), "b2");
     assert_eq!(chosen(&board, 3000 * MS), "b1");
 }
@@ -64,12 +64,12 @@
 #[test]
 fn pause_doubles() {
     let mut board = board();
-    board.note_refused(Duration::ZERO, "b1");
+    board.record_refusal(Duration::ZERO, "b1");
     assert!(board.is_paused(200 * MS, "b1"));
     assert!(!board.is_paused(300 * MS, "b1"));
-    board.note_refused(300 * MS, "b1");
+    board.record_refusal(300 * MS, "b1");
     assert!(board.is_paused(700 * MS, "b1"));
-    board.note_success(300 * MS, "b1");
+    board.record_success(300 * MS, "b1");
     assert!(!board.is_paused(700 * MS, "b1"));
 }
 
@@ -77,10 +77,10 @@
 fn failing_spared() {
     let mut board = board();
     for _ in 0..4 {
-        board.note_failure("b1");
+        board.record_failure("b1");
     }
     for _ in 0..5 {
-        board.note_sent("b2");
+        board.record_start("b2");
     }
     assert_eq!(
         chosen(&board, MS),
@@ -92,8 +92,8 @@
 #[test]
 fn last_resort() {
     let mut board = board();
-    board.note_refused(Duration::ZERO, "b1");
-    board.note_refused(Duration::ZERO, "b2");
+    board.record_refusal(Duration::ZERO, "b1");
+    board.record_refusal(Duration::ZERO, "b2");
     assert!(board.choose(MS, &[], |_, load| load).is_some());
 }
 
@@ -116,7 +116,7 @@
     let targets: Vec<TargetSpec> = (0..16)
         .map(|number| target(&format!("b{number:02}")))
         .collect();
-    let mut boards = vec![TargetBoard::default(); 4];
+    let mut boards = vec![TargetTable::default(); 4];
     for board in &mut boards {
         board.set_targets(targets.iter());
     }
@@ -127,7 +127,7 @@
         for (caller, call) in running.iter_mut().enumerate() {
             match *call {
                 Some((node, chosen, until)) if until <= now => {
-                    boards[node].note_ended(&targets[chosen].id);
+                    boards[node].record_end(&targets[chosen].id);
                     *call = None;
                 }
                 Some(_) => {}
@@ -135,7 +135,7 @@
                     let node = (caller + step as usize) % boards.len();
                     let cost = |target: &TargetSpec, load: f64| load / f64::from(target.slots);
                     let choice = boards[node].choose(now, &[], cost).expect("a choice");
-                    boards[node].note_sent(&choice.id);
+                    boards[node].record_start(&choice.id);
                     let chosen = targets.iter().position(|target| target.id == choice.id);
                     let chosen = chosen.expect("a target of the list");
                     shares[chosen] += 1;
--- a/packages/turnford-policy/tests/target_list.rs
+++ b/packages/turnford-policy/tests/target_list.rs
@@ -6,14 +6,14 @@
 
 use proptest::prelude::*;
 use turnford_policy::Moment;
-use turnford_policy::StorePlace;
+use turnford_policy::StorePosition;
 use turnford_policy::TargetList;
 use turnford_policy::TargetSpec;
 
 fn target(number: usize, leaving: bool) -> TargetSpec {
     TargetSpec {
         id: Arc::from(format!("t{number}")),
-        born: 0,
+        process_start: 0,
         service: Arc::from("sprog"),
         address: SocketAddr::from(([10, 0, 0, 1], 9000)),
         hall: Arc::from("hal-a"),
@@ -32,9 +32,9 @@
     let mut list = TargetList::default();
     list.put(target(1, false));
     list.put(target(2, false));
-    list.note_lost(secs(10.0));
-    list.note_regained(secs(14.0));
-    list.take_whole(secs(14.0), StorePlace::new(0, 9), Vec::new());
+    list.record_store_lost(secs(10.0));
+    list.record_store_recovered(secs(14.0));
+    list.replace_all(secs(14.0), StorePosition::new(0, 9), Vec::new());
     assert_eq!(list.targets().len(), 2);
     list.put(target(1, false));
     list.expire(secs(16.3));
@@ -47,8 +47,8 @@
     // Entries can't lapse in a second, so those that are missing are gone.
     let mut list = TargetList::default();
     list.put(target(1, false));
-    list.note_lost(secs(10.0));
-    list.note_regained(secs(11.0));
+    list.record_store_lost(secs(10.0));
+    list.record_store_recovered(secs(11.0));
     list.remove(secs(11.0), "t1");
     assert!(list.targets().is_empty());
 }
@@ -57,8 +57,8 @@
 fn leaving_gone() {
     let mut list = TargetList::default();
     list.put(target(1, true));
-    list.note_lost(secs(10.0));
-    list.note_regained(secs(14.0));
+    list.record_store_lost(secs(10.0));
+    list.record_store_recovered(secs(14.0));
     list.remove(secs(14.0), "t1");
     assert!(list.targets().is_empty());
 }
@@ -68,11 +68,11 @@
     // A node that learns of a lapsed target from another drops it at the same time.
     let mut first = TargetList::default();
     first.put(target(1, false));
-    first.note_lost(secs(10.0));
-    first.note_regained(secs(14.0));
+    first.record_store_lost(secs(10.0));
+    first.record_store_recovered(secs(14.0));
     first.remove(secs(14.0), "t1");
     let mut second = TargetList::default();
-    assert!(second.adopt(secs(14.0), first.place(), first.news_since(None)));
+    assert!(second.apply_update(secs(14.0), first.position(), first.updates_since(None)));
     assert_eq!(second.targets().len(), 1);
     second.expire(secs(16.3));
     assert!(second.targets().is_empty());
@@ -81,10 +81,10 @@
 #[test]
 fn older_refused() {
     let mut list = TargetList::default();
-    list.note_place(StorePlace::new(0, 7));
+    list.advance_to(StorePosition::new(0, 7));
     list.put(target(1, false));
     let old = TargetList::default();
-    assert!(!list.adopt(secs(0.0), StorePlace::new(0, 6), old.news_since(None)));
+    assert!(!list.apply_update(secs(0.0), StorePosition::new(0, 6), old.updates_since(None)));
     assert_eq!(list.targets().len(), 1);
 }
 
@@ -111,18 +111,18 @@
         let mut asker = TargetList::default();
         let mut cursor = None;
         for (revision, step) in (1_u64..).zip(steps) {
-            teller.note_place(StorePlace::new(0, revision));
+            teller.advance_to(StorePosition::new(0, revision));
             match step {
                 Step::Put(number, leaving) => teller.put(target(number, leaving)),
                 Step::Remove(number) => teller.remove(Moment::ZERO, &format!("t{number}")),
                 Step::Ask => {
-                    prop_assert!(asker.adopt(secs(0.0), teller.place(), teller.news_since(cursor)));
+                    prop_assert!(asker.apply_update(secs(0.0), teller.position(), teller.updates_since(cursor)));
                     cursor = Some(teller.newest_change());
                     prop_assert_eq!(asker.targets(), teller.targets());
                 }
             }
         }
-        prop_assert!(asker.adopt(secs(0.0), teller.place(), teller.news_since(cursor)));
+        prop_assert!(asker.apply_update(secs(0.0), teller.position(), teller.updates_since(cursor)));
         prop_assert_eq!(asker.targets(), teller.targets());
     }
 }
--- a/packages/turnford-policy/tests/target_words.rs
+++ b/packages/turnford-policy/tests/target_words.rs
@@ -9,9 +9,9 @@
 use common::histories;
 use proptest::prelude::*;
 use turnford_policy::Moment;
-use turnford_policy::TargetBirth;
-use turnford_policy::TargetBoard;
+use turnford_policy::ProcessStart;
 use turnford_policy::TargetSpec;
+use turnford_policy::TargetTable;
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -19,10 +19,10 @@
 /// ever.
 const ASKED_WITHIN: Duration = Duration::from_secs(20);
 
-fn target(born: TargetBirth, orders: u64, leaving: bool) -> TargetSpec {
+fn target(born: ProcessStart, orders: u64, leaving: bool) -> TargetSpec {
     TargetSpec {
         id: Arc::from("b1"),
-        born,
+        process_start: born,
         service: Arc::from("booking"),
         address: "127.0.0.1:1".parse().expect("an address"),
         hall: Arc::from("a"),
@@ -32,8 +32,8 @@
     }
 }
 
-fn board(spec: &TargetSpec) -> TargetBoard {
-    let mut board = TargetBoard::default();
+fn board(spec: &TargetSpec) -> TargetTable {
+    let mut board = TargetTable::default();
     board.set_targets([spec].into_iter());
     board
 }
@@ -42,8 +42,8 @@
 fn holds_against_entry() {
     let spec = target(7, 3, false);
     let mut board = board(&spec);
-    assert!(board.note_leaving(SECOND, "b1", 7));
-    assert!(!board.note_leaving(SECOND, "b1", 7));
+    assert!(board.record_leaving(SECOND, "b1", 7));
+    assert!(!board.record_leaving(SECOND, "b1", 7));
     assert_eq!(board.open_count(), 0);
     board.set_targets([&target(7, 4, false)].into_iter());
     assert_eq!(board.open_count(), 0);
@@ -60,7 +60,7 @@
     ];
     for (before, after, is_open) in cases {
         let mut board = board(&before);
-        board.note_leaving(SECOND, "b1", before.born);
+        board.record_leaving(SECOND, "b1", before.process_start);
         board.set_targets([&after].into_iter());
         assert_eq!(
             board.open_count(),
@@ -74,7 +74,7 @@
 fn gone_and_back() {
     let spec = target(0, 0, false);
     let mut board = board(&spec);
-    board.note_leaving(SECOND, "b1", 0);
+    board.record_leaving(SECOND, "b1", 0);
     board.set_targets([].into_iter());
     board.set_targets([&spec].into_iter());
     assert_eq!(board.open_count(), 1);
@@ -84,23 +84,23 @@
 fn older_process() {
     // Late news of the process before says nothing of this one.
     let mut board = board(&target(8, 0, false));
-    assert!(!board.note_leaving(SECOND, "b1", 7));
+    assert!(!board.record_leaving(SECOND, "b1", 7));
     assert_eq!(board.open_count(), 1);
 }
 
 #[test]
 fn asked_in_time() {
     let mut board = board(&target(7, 0, false));
-    board.note_leaving(SECOND, "b1", 7);
-    assert!(board.take_due_asks(2 * SECOND, 1.0).is_empty());
+    board.record_leaving(SECOND, "b1", 7);
+    assert!(board.take_due_probes(2 * SECOND, 1.0).is_empty());
     let at = SECOND + ASKED_WITHIN;
-    assert_eq!(board.take_due_asks(at, 1.0).len(), 1);
+    assert_eq!(board.take_due_probes(at, 1.0).len(), 1);
     // It is asked once, and again where it gave no answer.
-    assert!(board.take_due_asks(at + SECOND, 1.0).is_empty());
-    assert_eq!(board.take_due_asks(at + ASKED_WITHIN, 1.0).len(), 1);
-    board.note_staying("b1", 7);
+    assert!(board.take_due_probes(at + SECOND, 1.0).is_empty());
+    assert_eq!(board.take_due_probes(at + ASKED_WITHIN, 1.0).len(), 1);
+    board.record_active("b1", 7);
     assert_eq!(board.open_count(), 1);
-    assert!(board.take_due_asks(at + 3 * ASKED_WITHIN, 1.0).is_empty());
+    assert!(board.take_due_probes(at + 3 * ASKED_WITHIN, 1.0).is_empty());
 }
 
 #[test]
@@ -108,8 +108,8 @@
     // Nodes that heard the word together ask over several seconds, one by one.
     let asked_at = |later: f64| {
         let mut board = board(&target(7, 0, false));
-        board.note_leaving(SECOND, "b1", 7);
-        let due = |second: &u32| !board.take_due_asks(*second * SECOND, later).is_empty();
+        board.record_leaving(SECOND, "b1", 7);
+        let due = |second: &u32| !board.take_due_probes(*second * SECOND, later).is_empty();
         (1..60).find(due).expect("a question")
     };
     let asks: std::collections::BTreeSet<u32> = (0..20)
@@ -122,48 +122,48 @@
 fn draining_not_asked() {
     // Its entry says the same: nothing is to be asked, and it stays closed whatever it says.
     let mut board = board(&target(7, 0, false));
-    board.note_leaving(SECOND, "b1", 7);
+    board.record_leaving(SECOND, "b1", 7);
     board.set_targets([&target(7, 1, true)].into_iter());
-    assert!(board.take_due_asks(100 * SECOND, 1.0).is_empty());
-    board.note_staying("b1", 7);
+    assert!(board.take_due_probes(100 * SECOND, 1.0).is_empty());
+    board.record_active("b1", 7);
     assert_eq!(board.open_count(), 0);
 }
 
 #[test]
 fn rest_holds() {
     let mut board = board(&target(7, 0, false));
-    board.note_sent("b1");
-    board.note_rest(SECOND, "b1", 7, 3 * SECOND);
+    board.record_start("b1");
+    board.record_backoff(SECOND, "b1", 7, 3 * SECOND);
     // The call that was under way ends well, and a second one is told less.
-    board.note_success(SECOND, "b1");
-    board.note_ended("b1");
-    board.note_rest(SECOND, "b1", 7, SECOND / 10);
+    board.record_success(SECOND, "b1");
+    board.record_end("b1");
+    board.record_backoff(SECOND, "b1", 7, SECOND / 10);
     board.set_targets([&target(7, 1, false)].into_iter());
     assert!(!board.has_open(3 * SECOND, &[]));
     assert_eq!(board.opens_at(2 * SECOND, &[]), Some(4 * SECOND));
-    assert_eq!(board.rests_until(2 * SECOND, "b1"), Some(4 * SECOND));
+    assert_eq!(board.backoff_until(2 * SECOND, "b1"), Some(4 * SECOND));
     assert!(board.has_open(4 * SECOND, &[]));
-    assert_eq!(board.rests_until(4 * SECOND, "b1"), None);
+    assert_eq!(board.backoff_until(4 * SECOND, "b1"), None);
 }
 
 #[test]
 fn back_by_degrees() {
     // One call, then twice as many with each round of good answers, until all its places are used.
     let mut board = board(&target(7, 0, false));
-    board.note_rest(Duration::ZERO, "b1", 7, SECOND);
+    board.record_backoff(Duration::ZERO, "b1", 7, SECOND);
     let mut now = SECOND;
     let mut rounds = Vec::new();
     for _ in 0..4 {
         let mut sent = 0;
         while board.is_open(now, "b1") && sent < 20 {
-            board.note_sent("b1");
+            board.record_start("b1");
             sent += 1;
         }
         rounds.push(sent);
         now += SECOND / 10;
         for _ in 0..sent {
-            board.note_success(now, "b1");
-            board.note_ended("b1");
+            board.record_success(now, "b1");
+            board.record_end("b1");
         }
     }
     assert_eq!(rounds, [1, 2, 4, 20]);
@@ -173,10 +173,10 @@
 fn rest_again() {
     // The next rest begins anew with one call.
     let mut board = board(&target(7, 0, false));
-    board.note_rest(Duration::ZERO, "b1", 7, SECOND);
-    board.note_success(SECOND, "b1");
-    board.note_rest(SECOND, "b1", 7, SECOND);
-    board.note_sent("b1");
+    board.record_backoff(Duration::ZERO, "b1", 7, SECOND);
+    board.record_success(SECOND, "b1");
+    board.record_backoff(SECOND, "b1", 7, SECOND);
+    board.record_start("b1");
     assert!(!board.is_open(2 * SECOND, "b1"));
 }
 
@@ -184,7 +184,7 @@
 fn endless_rest() {
     // It is kept whatever its length, and ends with the process.
     let mut board = board(&target(7, 0, false));
-    board.note_rest(SECOND, "b1", 7, Duration::MAX);
+    board.record_backoff(SECOND, "b1", 7, Duration::MAX);
     assert!(!board.has_open(1_000_000 * SECOND, &[]));
     board.set_targets([&target(8, 0, false)].into_iter());
     assert!(board.has_open(SECOND, &[]));
@@ -193,23 +193,26 @@
 #[test]
 fn leaving_never_opens() {
     let mut board = board(&target(7, 0, false));
-    board.note_rest(SECOND, "b1", 7, SECOND);
-    board.note_leaving(SECOND, "b1", 7);
+    board.record_backoff(SECOND, "b1", 7, SECOND);
+    board.record_leaving(SECOND, "b1", 7);
     assert_eq!(board.opens_at(SECOND, &[]), None);
     // It is not asked whether it stays while it rests.
-    board.note_rest(SECOND, "b1", 7, 3 * ASKED_WITHIN);
+    board.record_backoff(SECOND, "b1", 7, 3 * ASKED_WITHIN);
     assert!(board
-        .take_due_asks(SECOND + 2 * ASKED_WITHIN, 1.0)
+        .take_due_probes(SECOND + 2 * ASKED_WITHIN, 1.0)
         .is_empty());
-    assert_eq!(board.take_due_asks(SECOND + 3 * ASKED_WITHIN, 1.0).len(), 1);
+    assert_eq!(
+        board.take_due_probes(SECOND + 3 * ASKED_WITHIN, 1.0).len(),
+        1
+    );
 }
 
 /// Something that happens to a board.
 #[derive(Clone, Debug)]
 enum Step {
-    Says(TargetBirth),
-    Stays(TargetBirth),
-    Listed(TargetBirth, bool),
+    Says(ProcessStart),
+    Stays(ProcessStart),
+    Listed(ProcessStart, bool),
     Unlisted,
 }
 
@@ -229,20 +232,20 @@
     /// was gone in between.
     #[test]
     fn never_open_again(steps in prop::collection::vec(step(), 1..60)) {
-        let mut board = TargetBoard::default();
-        let mut said: BTreeMap<TargetBirth, bool> = BTreeMap::new();
-        let mut listed: Option<(TargetBirth, bool)> = None;
+        let mut board = TargetTable::default();
+        let mut said: BTreeMap<ProcessStart, bool> = BTreeMap::new();
+        let mut listed: Option<(ProcessStart, bool)> = None;
         for (number, step) in steps.into_iter().enumerate() {
             let now: Moment = SECOND * u32::try_from(number).expect("few steps");
             match step {
                 Step::Says(born) => {
-                    board.note_leaving(now, "b1", born);
+                    board.record_leaving(now, "b1", born);
                     if listed.is_some_and(|(listed, _)| listed == born) {
                         said.insert(born, true);
                     }
                 }
                 Step::Stays(born) => {
-                    board.note_staying("b1", born);
+                    board.record_active("b1", born);
                     said.remove(&born);
                 }
                 Step::Listed(born, leaving) => {
--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use turnford_policy::FlowForecast;
-use turnford_policy::FlowNeed;
 use turnford_policy::FlowRefusal;
+use turnford_policy::FlowRequest;
 use turnford_policy::FlowStage;
 use turnford_policy::FlowTicket;
 use turnford_policy::Moment;
@@ -128,7 +128,7 @@
     };
     let Some(answer) = answer else {
         record.note(format_args!("admitted here: the placer gave no answer"));
-        return admit_alone(traffic, record, need.limit);
+        return admit_alone(traffic, record, need.time_budget);
     };
     let placer = PlacerLink {
         traffic: traffic.clone(),
@@ -143,8 +143,8 @@
     match reply {
         WorkReply::Admitted(ticket, ends) => Some(Ok((ticket, told_forecast(&ends)))),
         WorkReply::NotAdmitted { late_ms, back_ms } => Some(Err(FlowRefusal {
-            late: span(late_ms),
-            back_after: span(back_ms),
+            lateness: span(late_ms),
+            retry_after: span(back_ms),
         })),
         _ => None,
     }
@@ -167,20 +167,20 @@
     limit: Duration,
 ) -> Result<AdmittedFlow, FlowRefusal> {
     let forecast = forecast_alone(traffic, record, |_| true);
-    let late = forecast.end().saturating_sub(limit);
-    if late.is_zero() {
+    let lateness = forecast.end().saturating_sub(limit);
+    if lateness.is_zero() {
         return Ok(AdmittedFlow::new(traffic.shared.now(), None, &forecast));
     }
     Err(FlowRefusal {
-        late,
-        back_after: late,
+        lateness,
+        retry_after: lateness,
     })
 }
 
 fn admit_here(
     traffic: &Traffic,
     desk: &ServiceDesk,
-    need: &FlowNeed,
+    need: &FlowRequest,
     patience: Duration,
 ) -> Result<(FlowTicket, FlowForecast), FlowRefusal> {
     let now = traffic.shared.now();
@@ -193,7 +193,7 @@
 fn check_limits(
     desk: &ServiceDesk,
     now: Moment,
-    need: &FlowNeed,
+    need: &FlowRequest,
     patience: Duration,
 ) -> Result<(), FlowRefusal> {
     let mut division = desk.limits.division.borrow_mut();
@@ -204,12 +204,15 @@
     let targets = desk.board.borrow().untried_targets(&[]);
     let coming = desk.flow.borrow().admitted_before(need.ranks);
     let turn = divider.forecast(now, need.ranks, coming, &targets);
-    let late = turn.map_or(Duration::ZERO, |turn| turn.saturating_sub(patience));
-    if late.is_zero() {
+    let lateness = turn.map_or(Duration::ZERO, |turn| turn.saturating_sub(patience));
+    if lateness.is_zero() {
         return Ok(());
     }
-    let back_after = divider.plan_return(now, late, &targets);
-    Err(FlowRefusal { late, back_after })
+    let retry_after = divider.plan_return(now, lateness, &targets);
+    Err(FlowRefusal {
+        lateness,
+        retry_after,
+    })
 }
 
 /// Returns the time in which a request's stages must be done. One that is late however short the
@@ -218,7 +221,7 @@
     let last = record.last_span.get();
     let now = traffic.shared.now();
     let latest = record.serve_by().saturating_sub(now + last);
-    let due = record.begun + record.route.goal;
+    let due = record.begun + record.route.latency_objective;
     let prompt = due.saturating_sub(now + last).min(latest);
     if least_span(traffic, record, |_| true) <= prompt {
         prompt
@@ -227,7 +230,7 @@
     }
 }
 
-fn flow_need(traffic: &Traffic, record: &RequestRecord) -> FlowNeed {
+fn flow_need(traffic: &Traffic, record: &RequestRecord) -> FlowRequest {
     let route = &record.route;
     let graph = record.stage_graph();
     let stages = route
@@ -236,13 +239,13 @@
         .enumerate()
         .map(|(number, stage)| FlowStage {
             service: stage.service.clone(),
-            pieces: graph.count(number),
+            pieces: graph.piece_count(number),
             inputs: graph.inputs(number).to_vec(),
         });
-    FlowNeed {
+    FlowRequest {
         stages: stages.collect(),
         ranks: (record.rank, route.rank),
-        limit: stage_limit(traffic, record),
+        time_budget: stage_limit(traffic, record),
         deadline: record.deadline,
     }
 }
@@ -250,7 +253,7 @@
 fn admit_ask(
     traffic: &Traffic,
     desk: &ServiceDesk,
-    need: &FlowNeed,
+    need: &FlowRequest,
     patience: Duration,
 ) -> AdmitAsk {
     let left = need.deadline.saturating_sub(traffic.shared.now());
@@ -265,7 +268,7 @@
         service: desk.spec.borrow().name.to_string(),
         stages: stages.collect(),
         ranks: need.ranks,
-        limit_ms: millis(need.limit),
+        limit_ms: millis(need.time_budget),
         patience_ms: millis(patience),
         left_ms: millis(left),
     }
@@ -281,18 +284,18 @@
         pieces: stage.pieces,
         inputs: stage.inputs.iter().map(|&input| input as usize).collect(),
     });
-    let need = FlowNeed {
+    let need = FlowRequest {
         stages: stages.collect(),
         ranks: ask.ranks,
-        limit: Duration::from_millis(ask.limit_ms),
+        time_budget: Duration::from_millis(ask.limit_ms),
         deadline: traffic.shared.now() + Duration::from_millis(ask.left_ms),
     };
     let patience = Duration::from_millis(ask.patience_ms);
     match admit_here(traffic, &desk, &need, patience) {
         Ok((ticket, forecast)) => WorkReply::Admitted(ticket, encode_forecast(&forecast)),
         Err(refusal) => WorkReply::NotAdmitted {
-            late_ms: short_millis(refusal.late),
-            back_ms: short_millis(refusal.back_after),
+            late_ms: short_millis(refusal.lateness),
+            back_ms: short_millis(refusal.retry_after),
         },
     }
 }
--- a/packages/turnford-serve/src/batch.rs
+++ b/packages/turnford-serve/src/batch.rs
@@ -59,12 +59,12 @@
     match report {
         Ok(report) => {
             let mut board = cell.pieces.board.borrow_mut();
-            board.note_report(now, &target.id, report.most_free_bytes);
+            board.record_report(now, &target.id, report.most_free_bytes);
         }
         Err(reason) => {
             log::info!("target={} gave no report: {reason}", target.id);
             let mut board = cell.pieces.board.borrow_mut();
-            board.note_no_report(now, &target.id);
+            board.record_report_failure(now, &target.id);
         }
     }
     cell.pump();
@@ -108,7 +108,7 @@
         .iter()
         .map(|(handle, bytes)| (handle.as_str(), *bytes));
     let mut board = cell.pieces.board.borrow_mut();
-    board.note_ended(now, &id, reserved, kept);
+    board.record_end(now, &id, reserved, kept);
     drop(board);
     cell.pump();
 }
@@ -120,7 +120,7 @@
     let count = plan.pieces.len();
     let metrics = &traffic.shared.metrics;
     metrics.note_service(&target.service, ServiceEvent::Batch);
-    let span = cell.pieces.board.borrow().call_span(count);
+    let span = cell.pieces.board.borrow().call_time(count);
     let limit = longest_wait(&plan, begun);
     let call = call_pieces(cell, target, &plan, limit);
     let reads = is_calm(cell, target);
@@ -142,7 +142,10 @@
             let made = made_results(&plan, &ends);
             if made.is_empty() && ends.contains(&PieceEnd::NoRoom) {
                 let now = traffic.shared.now();
-                cell.pieces.board.borrow_mut().note_full(now, &target.id);
+                cell.pieces
+                    .board
+                    .borrow_mut()
+                    .record_refusal(now, &target.id);
             }
             cell.end_pieces(target, plan, ends);
             made
@@ -195,7 +198,7 @@
 /// Asks a target whether it is there.
 async fn is_silent(cell: &PieceCell, target: &TargetSpec) -> bool {
     let now = cell.traffic.shared.now();
-    let rests = cell.desk.board.borrow().rests_until(now, &target.id);
+    let rests = cell.desk.board.borrow().backoff_until(now, &target.id);
     let limit = cell.desk.limits.board.borrow().state(&target.id);
     if rests.is_some() || limit.needs_permit() {
         // It wants no question either; the call goes on.
@@ -206,7 +209,7 @@
         log::info!("target={} is overdue and silent: {reason}", target.id);
         // Before it gets another call, it must answer.
         let mut board = cell.pieces.board.borrow_mut();
-        board.forget_report(&target.id);
+        board.invalidate_report(&target.id);
     }
     report.is_err()
 }
@@ -220,15 +223,15 @@
     );
     note_speed(cell, target, span.mul_f64(LATE_FACTOR), span);
     let now = cell.traffic.shared.now();
-    if cell.pieces.board.borrow().waiting() > 0 {
+    if cell.pieces.board.borrow().queue_len() > 0 {
         // The others have enough to do; making these twice would only make them later.
         return;
     }
     for (ticket, work) in &plan.pieces {
         let is_possible = cell.pieces.has_inputs(*ticket);
-        if is_possible && cell.desk.allowance.borrow_mut().take(now) {
+        if is_possible && cell.desk.allowance.borrow_mut().try_take(now) {
             let mut board = cell.pieces.board.borrow_mut();
-            board.put_back(*ticket, work.clone());
+            board.requeue(*ticket, work.clone());
         }
     }
     cell.pump();
@@ -239,7 +242,7 @@
     let now = cell.traffic.shared.now();
     let sample = took.as_secs_f64() / span.as_secs_f64().max(0.001);
     let mut board = cell.desk.board.borrow_mut();
-    board.note_slowness(now, &target.id, sample);
+    board.record_slowness(now, &target.id, sample);
 }
 
 fn made_results(plan: &BatchPlan, ends: &[PieceEnd]) -> Vec<(String, u64)> {
@@ -266,7 +269,10 @@
         }
         CallFault::NotRun(status) => {
             log::debug!("target={} turned {count} pieces away: {status}", target.id);
-            cell.pieces.board.borrow_mut().note_full(now, &target.id);
+            cell.pieces
+                .board
+                .borrow_mut()
+                .record_refusal(now, &target.id);
             cell.give_back(plan, "the target turned it away", false);
         }
         CallFault::Broke(reason) | CallFault::Unknown(reason) => {
@@ -274,8 +280,8 @@
             let metrics = &traffic.shared.metrics;
             metrics.note_service(&target.service, ServiceEvent::Broken);
             let mut board = cell.desk.board.borrow_mut();
-            board.note_failure(&target.id);
-            board.note_refused(now, &target.id);
+            board.record_failure(&target.id);
+            board.record_refusal(now, &target.id);
             drop(board);
             cell.pieces.last_fault.set(Some(now));
             cell.give_back(plan, reason, true);
@@ -302,7 +308,7 @@
         stage: work.stage,
         piece: work.piece,
         left: work.deadline.saturating_sub(now),
-        key: work.key.as_deref(),
+        key: work.piece_key.as_deref(),
         inputs: &work.inputs,
     });
     let orders: Vec<PieceOrder<'_>> = orders.collect();
--- a/packages/turnford-serve/src/call.rs
+++ b/packages/turnford-serve/src/call.rs
@@ -185,7 +185,7 @@
     if let Some(mark) = facts.load {
         let now = traffic.shared.now();
         let mut board = desk.board.borrow_mut();
-        board.note_load(now, &target.id, mark);
+        board.record_load(now, &target.id, mark);
     }
     if attempt.is_some() && !facts.not_run && facts.attempt.as_deref() != attempt {
         return Err(other_attempt(traffic, target, &facts));
@@ -245,7 +245,7 @@
     metrics.note_service(&target.service, ServiceEvent::Connected);
     opened.map_err(|_| {
         let now = traffic.shared.now();
-        desk.board.borrow_mut().note_refused(now, &target.id);
+        desk.board.borrow_mut().record_refusal(now, &target.id);
         CallFault::NotSent("no connection to the target")
     })
 }
--- a/packages/turnford-serve/src/control.rs
+++ b/packages/turnford-serve/src/control.rs
@@ -30,7 +30,7 @@
 
 fn probe_limits() -> ClientLimits {
     ClientLimits {
-        head_bytes: HEAD_LIMIT,
+        max_header_bytes: HEAD_LIMIT,
         ..ClientLimits::default()
     }
 }
--- a/packages/turnford-serve/src/control/context.rs
+++ b/packages/turnford-serve/src/control/context.rs
@@ -21,7 +21,7 @@
 use turnford_fleet::MemberTable;
 use turnford_fleet::MemberUpdate;
 use turnford_policy::Moment;
-use turnford_policy::StorePlace;
+use turnford_policy::StorePosition;
 use turnford_policy::TargetList;
 use turnford_wire::PeerClient;
 use turnford_wire::ViewCursor;
@@ -39,7 +39,7 @@
 /// What is known of the objects of one kind in the store.
 pub(super) struct KindState {
     /// Place up to which they are known; `None` where only a list helps.
-    pub(super) place: Cell<Option<StorePlace>>,
+    pub(super) place: Cell<Option<StorePosition>>,
     /// Whether the store is away for this node.
     pub(super) is_lost: Cell<bool>,
     /// When the store said last, to this node or to the one that it follows, that this is all.
@@ -156,7 +156,7 @@
 
     /// Returns the newest era of the store that this node knows.
     pub(super) fn era(&self) -> u64 {
-        self.store.era().max(self.targets.borrow().place().era)
+        self.store.era().max(self.targets.borrow().position().era)
     }
 
     /// Returns how new this node's knowledge is.
--- a/packages/turnford-serve/src/control/follow.rs
+++ b/packages/turnford-serve/src/control/follow.rs
@@ -10,7 +10,7 @@
 use turnford_adapter::StoreEvent;
 use turnford_adapter::StoreFault;
 use turnford_adapter::StoreList;
-use turnford_policy::StorePlace;
+use turnford_policy::StorePosition;
 
 use super::context::ControlContext;
 use super::context::KindState;
@@ -31,7 +31,7 @@
     /// All objects of the kind.
     List(StoreList),
     /// Changes since, and the place up to which they reach.
-    Events(Vec<StoreEvent>, StorePlace),
+    Events(Vec<StoreEvent>, StorePosition),
     /// The store did not answer or turned the call away.
     Lost,
     /// The store answers, for the first time or again.
@@ -119,7 +119,7 @@
 async fn list_kind(
     context: &ControlContext,
     kind: &str,
-) -> Result<(StoreNews, StorePlace), StoreFault> {
+) -> Result<(StoreNews, StorePosition), StoreFault> {
     let list = context.store.list(kind, LIST_LIMIT).await?;
     let place = list.place;
     Ok((StoreNews::List(list), place))
@@ -128,16 +128,16 @@
 async fn watch_kind(
     context: &ControlContext,
     kind: &str,
-    place: StorePlace,
+    place: StorePosition,
     wait: Duration,
-) -> Result<(StoreNews, StorePlace), StoreFault> {
+) -> Result<(StoreNews, StorePosition), StoreFault> {
     let (events, place) = context.store.watch(kind, place, wait).await?;
     Ok((StoreNews::Events(events, place), place))
 }
 
 /// Ends when the store is known to have another era than a place: a watch from there would end late, or
 /// miss what lies below it.
-async fn other_era<T>(context: &ControlContext, place: StorePlace) -> Result<T, StoreFault> {
+async fn other_era<T>(context: &ControlContext, place: StorePosition) -> Result<T, StoreFault> {
     while context.store.era() == place.era {
         Timer::after(ERA_PAUSE).await;
     }
--- a/packages/turnford-serve/src/control/news.rs
+++ b/packages/turnford-serve/src/control/news.rs
@@ -69,7 +69,7 @@
 
 fn knows_more(context: &ControlContext, mark: ViewMark) -> bool {
     let config = context.shared.view.load().config.version;
-    let targets = context.targets.borrow().place();
+    let targets = context.targets.borrow().position();
     mark.config > config || mark.targets > targets
 }
 
--- a/packages/turnford-serve/src/control/source.rs
+++ b/packages/turnford-serve/src/control/source.rs
@@ -125,7 +125,7 @@
         state.note_answer();
     }
     let now = context.now();
-    context.targets.borrow_mut().note_regained(now);
+    context.targets.borrow_mut().record_store_recovered(now);
 }
 
 /// Returns the longest wait of a watch at the store.
--- a/packages/turnford-serve/src/control/targets.rs
+++ b/packages/turnford-serve/src/control/targets.rs
@@ -46,21 +46,21 @@
     match news {
         StoreNews::List(objects) => {
             let entries = objects.objects.iter().filter_map(decode_entry);
-            list.take_whole(now, objects.place, entries.collect());
+            list.replace_all(now, objects.place, entries.collect());
         }
         StoreNews::Events(events, place) => {
-            list.note_place(*place);
+            list.advance_to(*place);
             for event in events {
                 let name = &event.object.name;
                 match decode_entry(&event.object) {
                     _ if event.is_gone => list.remove(now, name),
                     Some(target) => list.put(target),
-                    None => list.reject(name),
+                    None => list.remove_invalid(name),
                 }
             }
         }
-        StoreNews::Lost => list.note_lost(now),
-        StoreNews::Regained => list.note_regained(now),
+        StoreNews::Lost => list.record_store_lost(now),
+        StoreNews::Regained => list.record_store_recovered(now),
     }
 }
 
@@ -77,10 +77,10 @@
         Timer::after(LAPSE_PAUSE).await;
         let now = context.now();
         let expired = context.targets.borrow_mut().expire(now);
-        for id in &expired.gone {
+        for id in &expired.removed {
             log::info!("target={id} did not return after the store did");
         }
-        for id in &expired.back {
+        for id in &expired.reinstated {
             log::info!("target={id} lives, though it was gone before the store came back");
         }
         if expired != ExpiredTargets::default() {
@@ -109,7 +109,7 @@
 }
 
 fn log_changes(old: &BTreeMap<TargetId, TargetSpec>, list: &TargetList) {
-    let place = list.place();
+    let place = list.position();
     for (id, target) in list.targets() {
         if old.get(id) != Some(target) {
             log::info!(
@@ -118,7 +118,7 @@
                 target.address,
                 target.hall,
                 target.leaving,
-                target.born
+                target.process_start
             );
         }
     }
--- a/packages/turnford-serve/src/control/view.rs
+++ b/packages/turnford-serve/src/control/view.rs
@@ -11,8 +11,8 @@
 
 use turnford_policy::ListedTarget;
 use turnford_policy::Moment;
-use turnford_policy::TargetNews;
 use turnford_policy::TargetSpec;
+use turnford_policy::TargetUpdate;
 use turnford_wire::PackedText;
 use turnford_wire::PeerFault;
 use turnford_wire::RouteReply;
@@ -112,7 +112,7 @@
         config_state.place.set(Some(own.max(config_place)));
     }
     let news = target_news(now, news);
-    let is_behind = !context.targets.borrow_mut().adopt(now, place, news);
+    let is_behind = !context.targets.borrow_mut().apply_update(now, place, news);
     if !is_behind {
         context.cursors.borrow_mut().insert(peer, cursor);
         context.target_state.place.set(Some(place));
@@ -178,7 +178,7 @@
 /// another process, or before the store came back from a copy.
 fn known_change(context: &ControlContext, cursor: ViewCursor) -> Option<u64> {
     let is_own = cursor.process == context.shared.started;
-    let is_of_era = cursor.era == context.targets.borrow().place().era;
+    let is_of_era = cursor.era == context.targets.borrow().position().era;
     (is_own && is_of_era).then_some(cursor.change)
 }
 
@@ -188,20 +188,20 @@
     let mut held = context.held_config.borrow_mut();
     let packed = if is_newer { held.packed() } else { None };
     let list = context.targets.borrow();
-    let news = list.news_since(after);
+    let news = list.updates_since(after);
     let now = context.now();
     let targets = news.listed.iter().map(|listed| target_entry(now, listed));
-    let gone = news.gone.iter().map(ToString::to_string);
+    let gone = news.removed.iter().map(ToString::to_string);
     ViewNews {
         config: packed.cloned(),
         config_place: context.config_state.place.get().unwrap_or_default(),
-        is_whole: news.is_whole,
+        is_whole: news.is_full,
         targets: targets.collect(),
         gone: gone.collect(),
-        target_place: list.place(),
+        target_place: list.position(),
         cursor: ViewCursor {
             process: context.shared.started,
-            era: list.place().era,
+            era: list.position().era,
             change: list.newest_change(),
         },
         age_ms: to_millis(context.view_age()),
@@ -221,23 +221,25 @@
     let target = &listed.spec;
     TargetEntry {
         id: target.id.to_string(),
-        born: target.born,
+        born: target.process_start,
         service: target.service.to_string(),
         address: target.address,
         hall: target.hall.to_string(),
         slots: target.slots,
         orders: target.orders,
         leaving: target.leaving,
-        gone_in_ms: listed.gone_at.map(|at| to_millis(at.saturating_sub(now))),
-        is_copied: listed.is_copied,
+        gone_in_ms: listed
+            .expires_at
+            .map(|at| to_millis(at.saturating_sub(now))),
+        is_copied: listed.is_restored,
     }
 }
 
-fn target_news(now: Moment, news: ViewNews) -> TargetNews {
+fn target_news(now: Moment, news: ViewNews) -> TargetUpdate {
     let listed = news.targets.into_iter().map(|entry| ListedTarget {
         spec: TargetSpec {
             id: entry.id.into(),
-            born: entry.born,
+            process_start: entry.born,
             service: entry.service.into(),
             address: entry.address,
             hall: entry.hall.into(),
@@ -245,12 +247,12 @@
             orders: entry.orders,
             leaving: entry.leaving,
         },
-        gone_at: entry.gone_in_ms.map(|left| now + from_millis(left)),
-        is_copied: entry.is_copied,
+        expires_at: entry.gone_in_ms.map(|left| now + from_millis(left)),
+        is_restored: entry.is_copied,
     });
-    TargetNews {
-        is_whole: news.is_whole,
+    TargetUpdate {
+        is_full: news.is_whole,
         listed: listed.collect(),
-        gone: news.gone.into_iter().map(Into::into).collect(),
+        removed: news.gone.into_iter().map(Into::into).collect(),
     }
 }
--- a/packages/turnford-serve/src/crash.rs
+++ b/packages/turnford-serve/src/crash.rs
@@ -13,8 +13,8 @@
 use turnford_fleet::CrashTable;
 use turnford_fleet::CrashVerdict;
 use turnford_policy::Moment;
+use turnford_policy::ProcessStart;
 use turnford_policy::RequestDigest;
-use turnford_policy::TargetBirth;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
@@ -59,7 +59,7 @@
     /// Broken calls whose targets may be found to have crashed.
     breaks: RefCell<VecDeque<BrokenCall>>,
     /// Starts of targets that left as planned, the newest last.
-    left: RefCell<VecDeque<(TargetId, TargetBirth)>>,
+    left: RefCell<VecDeque<(TargetId, ProcessStart)>>,
     /// Suspects under way at this node.
     running: RefCell<HashMap<RequestDigest, usize>>,
 }
@@ -76,14 +76,14 @@
         if left.len() >= LEFT_LIMIT {
             left.pop_front();
         }
-        left.push_back((target.id.clone(), target.born));
+        left.push_back((target.id.clone(), target.process_start));
     }
 
     /// Tells whether a target left as planned.
     pub(crate) fn has_left(&self, target: &TargetSpec) -> bool {
         let left = self.left.borrow();
         let mut left = left.iter();
-        left.any(|(id, born)| *id == target.id && *born == target.born)
+        left.any(|(id, born)| *id == target.id && *born == target.process_start)
     }
 
     /// Tells whether a copy of a request is under way at this node.
@@ -155,7 +155,7 @@
     log::warn!(
         "target={} born={} crashed under asks={digest} alone={} begun={}: {evidence}",
         target.id,
-        target.born,
+        target.process_start,
         call.is_alone,
         call.has_begun
     );
@@ -167,7 +167,7 @@
     };
     let event = CrashEvent::Crashed {
         target: target.id.to_string(),
-        born: target.born,
+        born: target.process_start,
         part,
         is_cleared: false,
     };
--- a/packages/turnford-serve/src/crash_check.rs
+++ b/packages/turnford-serve/src/crash_check.rs
@@ -75,7 +75,7 @@
     let port = probe_port(target.address, PORT_LIMIT).await;
     let now = traffic.shared.now();
     if port == PortState::Refused {
-        desk.board.borrow_mut().note_refused(now, &target.id);
+        desk.board.borrow_mut().record_refusal(now, &target.id);
     }
     for call in calls {
         if port == PortState::Refused {
@@ -102,5 +102,5 @@
 fn is_other_start(desk: &ServiceDesk, target: &TargetSpec) -> bool {
     let board = desk.board.borrow();
     let listed = board.get(&target.id);
-    listed.is_none_or(|listed| listed.born != target.born && !target.leaving)
+    listed.is_none_or(|listed| listed.process_start != target.process_start && !target.leaving)
 }
--- a/packages/turnford-serve/src/desk.rs
+++ b/packages/turnford-serve/src/desk.rs
@@ -10,18 +10,18 @@
 use turnford_fleet::TrialLedger;
 use turnford_fleet::TrialTicket;
 use turnford_policy::split_cells;
-use turnford_policy::EngineBoard;
-use turnford_policy::FlowBoard;
+use turnford_policy::EngineScheduler;
+use turnford_policy::FlowController;
+use turnford_policy::LatencyModel;
 use turnford_policy::LimitState;
 use turnford_policy::Moment;
+use turnford_policy::ProcessStart;
 use turnford_policy::RetryAllowance;
 use turnford_policy::ServiceSpec;
-use turnford_policy::SpanLine;
 use turnford_policy::StageRate;
-use turnford_policy::TargetBirth;
-use turnford_policy::TargetBoard;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
+use turnford_policy::TargetTable;
 use turnford_policy::RANK_COUNT;
 
 use crate::call::CallFault;
@@ -44,20 +44,20 @@
 /// A service.
 pub(crate) struct ServiceDesk {
     pub(crate) spec: RefCell<Arc<ServiceSpec>>,
-    pub(crate) board: RefCell<TargetBoard>,
+    pub(crate) board: RefCell<TargetTable>,
     /// Limits that targets name for all nodes together.
     pub(crate) limits: Rc<ServiceLimits>,
     /// What is known of the targets where they are model engines.
-    pub(crate) engines: RefCell<EngineBoard>,
+    pub(crate) engines: RefCell<EngineScheduler>,
     /// What admitted requests for this service still need of their stages.
-    pub(crate) flow: RefCell<FlowBoard>,
+    pub(crate) flow: RefCell<FlowController>,
     pub(crate) allowance: RefCell<RetryAllowance>,
     /// Suspects that run, where this node places for all.
     pub(crate) trials: RefCell<TrialLedger>,
     /// Number of the newest trial at a target that is no engine.
     next_trial: Cell<TrialTicket>,
     /// Span of this node's own calls until their first answer, by the tokens that only the request has.
-    last_line: RefCell<SpanLine>,
+    last_line: RefCell<LatencyModel>,
     /// Requests that wait until a target takes calls.
     pub(crate) line: Rc<WaitLine>,
     /// Cells of the targets, where the service runs pieces of stages.
@@ -87,7 +87,7 @@
             allowance: RefCell::new(allowance),
             trials: RefCell::default(),
             next_trial: Cell::new(0),
-            last_line: RefCell::new(SpanLine::new(START_LAST.0, START_TOKENS, START_LAST.1)),
+            last_line: RefCell::new(LatencyModel::new(START_LAST.0, START_TOKENS, START_LAST.1)),
             line: Rc::default(),
             cells: RefCell::default(),
             waits: RefCell::default(),
@@ -96,12 +96,12 @@
 
     /// Returns the span that a request's own call takes until its first answer, as most do.
     pub(crate) fn last_span(&self, own_tokens: u64) -> Duration {
-        self.last_line.borrow().span(own_tokens as f64)
+        self.last_line.borrow().predict(own_tokens as f64)
     }
 
     /// Learns the span of such a call.
     pub(crate) fn note_last(&self, own_tokens: u64, span: Duration) {
-        self.last_line.borrow_mut().note(own_tokens as f64, span);
+        self.last_line.borrow_mut().observe(own_tokens as f64, span);
     }
 
     /// Returns a number for a trial at a target that is no engine; engines number their runs.
@@ -125,14 +125,14 @@
         if spec.leaving && purpose != CallPurpose::Upkeep {
             return Some(CallFault::Closed("the target is leaving"));
         }
-        if board.rests_until(now, target).is_some() {
+        if board.backoff_until(now, target).is_some() {
             return Some(CallFault::Closed("the target wants rest"));
         }
-        let has_room = purpose == CallPurpose::Upkeep || board.has_room(now, target);
+        let has_room = purpose == CallPurpose::Upkeep || board.is_within_limit(now, target);
         if !has_room {
             return Some(CallFault::Closed("the target comes back from its rest"));
         }
-        let has_permit = self.limits.board.borrow_mut().enter(now, target);
+        let has_permit = self.limits.board.borrow_mut().try_acquire(now, target);
         (!has_permit).then_some(CallFault::Limited)
     }
 
@@ -148,7 +148,7 @@
 
     /// Notes a good answer of a target; it may let in those that wait.
     pub(crate) fn note_success(&self, now: Moment, target: &str) {
-        self.board.borrow_mut().note_success(now, target);
+        self.board.borrow_mut().record_success(now, target);
         self.line.wake_first();
     }
 
@@ -159,14 +159,17 @@
         let board = self.board.borrow();
         let open = board.open_targets();
         let is_awake = |target: &&TargetSpec| {
-            !board.is_paused(now, &target.id) && !board.rests_anywhere(now, &target.id)
+            !board.is_paused(now, &target.id) && !board.has_any_backoff(now, &target.id)
         };
         let awake: Vec<&TargetSpec> = open.filter(is_awake).collect();
         // Pauses are short: where all targets have one, some will soon be back.
         let least = board.open_count().min(1);
-        let opens_in = board.serves_at(now).unwrap_or(now).saturating_sub(now);
-        let pieces = u32::try_from(batch.piece_limit.max(1)).unwrap_or(u32::MAX);
-        let span = batch.call_span + batch.piece_span * pieces;
+        let opens_in = board
+            .opens_for_batcher_at(now)
+            .unwrap_or(now)
+            .saturating_sub(now);
+        let pieces = u32::try_from(batch.max_pieces.max(1)).unwrap_or(u32::MAX);
+        let span = batch.call_overhead + batch.piece_time * pieces;
         let full = batch.slots.max(1) as f64 / span.as_secs_f64().max(0.001);
         let limits = self.limits.board.borrow();
         let calls = awake.iter().map(|target| match limits.state(&target.id) {
@@ -190,10 +193,10 @@
         };
         Some(StageRate {
             nominal,
-            call_span: batch.call_span,
-            piece_span: batch.piece_span,
-            piece_limit: pieces,
-            opens_in,
+            call_overhead: batch.call_overhead,
+            piece_time: batch.piece_time,
+            max_pieces: pieces,
+            available_in: opens_in,
         })
     }
 
@@ -217,7 +220,7 @@
                 .clone_from(&split[number % split.len()]);
             let mut pieces = cell.board.borrow_mut();
             pieces.set_spec(batch);
-            pieces.forget_gone(&board);
+            pieces.retain_listed(&board);
         }
     }
 
@@ -282,12 +285,12 @@
 /// none.
 pub(crate) fn next_opening(
     now: Moment,
-    board: &TargetBoard,
+    board: &TargetTable,
     targets: &[TargetSpec],
 ) -> Option<Moment> {
     let ends = targets
         .iter()
-        .map(|target| board.rests_until(now, &target.id));
+        .map(|target| board.backoff_until(now, &target.id));
     let ends: Option<Vec<Moment>> = ends.collect();
     ends?.into_iter().min()
 }
@@ -297,17 +300,17 @@
     desk: Rc<ServiceDesk>,
     target: TargetId,
     /// Start of the target's process.
-    born: TargetBirth,
+    born: ProcessStart,
 }
 
 impl FlightGuard {
     /// Notes a call.
     pub(crate) fn new(desk: &Rc<ServiceDesk>, target: &TargetSpec) -> Self {
-        desk.board.borrow_mut().note_sent(&target.id);
+        desk.board.borrow_mut().record_start(&target.id);
         Self {
             desk: desk.clone(),
             target: target.id.clone(),
-            born: target.born,
+            born: target.process_start,
         }
     }
 }
@@ -316,8 +319,8 @@
     fn drop(&mut self) {
         let mut board = self.desk.board.borrow_mut();
         let listed = board.get(&self.target);
-        if listed.is_some_and(|listed| listed.born == self.born) {
-            board.note_ended(&self.target);
+        if listed.is_some_and(|listed| listed.process_start == self.born) {
+            board.record_end(&self.target);
         }
         drop(board);
         self.desk.line.wake_first();
--- a/packages/turnford-serve/src/entry.rs
+++ b/packages/turnford-serve/src/entry.rs
@@ -77,9 +77,9 @@
 
 fn link_limits(limits: &ClientLimits) -> LinkLimits {
     LinkLimits {
-        head_bytes: limits.head_bytes,
-        head_span: limits.head_span,
-        idle_span: limits.idle_span,
+        head_bytes: limits.max_header_bytes,
+        head_span: limits.header_timeout,
+        idle_span: limits.idle_timeout,
     }
 }
 
--- a/packages/turnford-serve/src/forward.rs
+++ b/packages/turnford-serve/src/forward.rs
@@ -106,7 +106,7 @@
         failed: None,
     };
     let now = traffic.shared.now();
-    job.desk.allowance.borrow_mut().note_first(now);
+    job.desk.allowance.borrow_mut().record_first_attempt(now);
     job.record.note_last_begun();
     while may_try(traffic, job, &log) {
         let wish = PlaceWish {
@@ -174,14 +174,14 @@
     let has_time = traffic.shared.now() < job.record.deadline;
     may_repeat
         && has_time
-        && log.sent < job.record.route.target_limit
+        && log.sent < job.record.route.max_targets
         && log.unreached < UNREACHED_LIMIT
 }
 
 /// Takes a repeat from the service's allowance.
 fn take_repeat(traffic: &Traffic, job: &ForwardJob<'_>, target: &TargetSpec) -> bool {
     let now = traffic.shared.now();
-    let allowed = job.desk.allowance.borrow_mut().take(now);
+    let allowed = job.desk.allowance.borrow_mut().try_take(now);
     let event = if allowed {
         ServiceEvent::Repeated
     } else {
@@ -261,7 +261,7 @@
     log.may_have_run = true;
     let passed = passed_answer(&parts, AnswerBody::whole(body));
     if status.is_server_error() {
-        job.desk.board.borrow_mut().note_failure(&target.id);
+        job.desk.board.borrow_mut().record_failure(&target.id);
         if record.route.is_repeatable() {
             log.failed = Some(passed);
             return None;
@@ -273,7 +273,7 @@
     if status.is_success() {
         note_good_end(traffic, &record.digest.get());
         job.desk
-            .note_last(record.facts.own_tokens(), record.last_elapsed());
+            .note_last(record.facts.unique_tokens(), record.last_elapsed());
     }
     record.end(passed_code(traffic, job, status), "");
     Some(ForwardEnd::Answer(passed))
@@ -329,7 +329,7 @@
             job.record
                 .note(format_args!("{} not asked: {reason}", target.id));
             if log.sent > 0 {
-                job.desk.allowance.borrow_mut().give_back();
+                job.desk.allowance.borrow_mut().release();
             }
         }
         CallFault::Limited => {
@@ -341,7 +341,7 @@
                 target.id
             ));
             if log.sent > 0 {
-                job.desk.allowance.borrow_mut().give_back();
+                job.desk.allowance.borrow_mut().release();
             }
             log.limited += 1;
             if log.limited <= LIMITED_TRIES {
@@ -360,14 +360,14 @@
             if *status == StatusCode::CONFLICT {
                 return Some(ForwardEnd::InputGone);
             }
-            board.note_refused(now, &target.id);
+            board.record_refusal(now, &target.id);
         }
         CallFault::Broke(reason) | CallFault::Unknown(reason) => {
             log.sent += 1;
             log.may_have_run = true;
             job.record
                 .note(format_args!("{} gave no answer: {reason}", target.id));
-            board.note_failure(&target.id);
+            board.record_failure(&target.id);
             let metrics = &traffic.shared.metrics;
             metrics.note_service(&target.service, ServiceEvent::Broken);
         }
--- a/packages/turnford-serve/src/gather.rs
+++ b/packages/turnford-serve/src/gather.rs
@@ -176,7 +176,7 @@
         digest: first.digest.0,
         stage: u32::try_from(first.stage).unwrap_or(u32::MAX),
         pieces: works.iter().map(|work| work.piece).collect(),
-        key: first.key.as_deref().map(str::to_owned),
+        key: first.piece_key.as_deref().map(str::to_owned),
         inputs: first.inputs.to_vec(),
         last_use: Vec::new(),
         left_ms: millis(first.deadline),
@@ -184,7 +184,7 @@
         ranks: first.ranks,
         result_bytes: first.result_bytes,
         hall: first.hall.as_deref().map(str::to_owned),
-        patience_ms: u32::try_from(millis(first.hall_until)).unwrap_or(u32::MAX),
+        patience_ms: u32::try_from(millis(first.hall_deadline)).unwrap_or(u32::MAX),
     })
 }
 
@@ -273,7 +273,7 @@
         .desk
         .allowance
         .borrow_mut()
-        .note_firsts(now, works.len());
+        .record_first_attempts(now, works.len());
     let inputs = asked_inputs(traffic, &ask.last_use);
     // What is not known here is given up by the node that asks.
     let knows_all = inputs.len() == ask.last_use.len();
@@ -324,14 +324,14 @@
         attempt: ask.attempt.as_str().into(),
         stage: ask.stage as usize,
         piece: 0,
-        key: ask.key.as_deref().map(Into::into),
+        piece_key: ask.key.as_deref().map(Into::into),
         inputs: ask.inputs.clone().into(),
         deadline: now + Duration::from_millis(ask.left_ms),
         due: now + Duration::from_millis(ask.due_ms),
         ranks: ask.ranks,
         result_bytes: ask.result_bytes,
         hall: ask.hall.as_deref().map(Into::into),
-        hall_until: now + Duration::from_millis(u64::from(ask.patience_ms)),
+        hall_deadline: now + Duration::from_millis(u64::from(ask.patience_ms)),
     };
     let works = ask.pieces.iter().map(|&piece| PieceWork {
         piece,
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -53,7 +53,7 @@
     let news = LeavingNews {
         service: target.service.to_string(),
         target: target.id.to_string(),
-        born: target.born,
+        born: target.process_start,
     };
     if take_leaving(traffic, desk, &news, "an answer to this node") {
         tell_leaving(traffic, vec![news]);
@@ -69,7 +69,7 @@
 ) -> bool {
     let now = traffic.shared.now();
     let mut board = desk.board.borrow_mut();
-    if !board.note_leaving(now, &news.target, news.born) {
+    if !board.record_leaving(now, &news.target, news.born) {
         return false;
     }
     drop(board);
@@ -135,7 +135,7 @@
         Timer::after(ASK_PAUSE).await;
         let now = traffic.shared.now();
         for desk in traffic.all_desks() {
-            let due = desk.board.borrow_mut().take_due_asks(now, later);
+            let due = desk.board.borrow_mut().take_due_probes(now, later);
             for target in due {
                 let ask = ask_target(traffic.clone(), desk.clone(), target);
                 traffic.executor.spawn(ask).detach();
@@ -155,7 +155,7 @@
     if stays == Ok(true) {
         desk.board
             .borrow_mut()
-            .note_staying(&target.id, target.born);
+            .record_active(&target.id, target.process_start);
         traffic.refresh_pieces(&desk);
     }
 }
--- a/packages/turnford-serve/src/limit_news.rs
+++ b/packages/turnford-serve/src/limit_news.rs
@@ -11,10 +11,10 @@
 use turnford_fleet::DivisionRole;
 use turnford_fleet::LimitEntry;
 use turnford_fleet::LimitTerm;
-use turnford_policy::HeardWord;
-use turnford_policy::LimitWord;
+use turnford_policy::LimitObservation;
+use turnford_policy::LimitSignal;
 use turnford_policy::Moment;
-use turnford_policy::TargetBirth;
+use turnford_policy::ProcessStart;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 use turnford_wire::LimitNews;
@@ -36,14 +36,14 @@
 pub(crate) fn hear_limit(
     limits: &Rc<ServiceLimits>,
     target: &TargetSpec,
-    heard: HeardWord,
+    heard: LimitObservation,
     attempt: &str,
 ) {
     let mut board = limits.board.borrow_mut();
-    let before = board.hear(&target.id, target.born, heard);
+    let before = board.observe(&target.id, target.process_start, heard);
     drop(board);
     if let Some(before) = before {
-        let word = heard.word;
+        let word = heard.signal;
         log::info!(
             "target={} names limit={word} before={before:?} request={attempt}",
             target.id
@@ -55,14 +55,14 @@
 /// Tells the node that divides what this one heard last of a target's limit, soon.
 pub(crate) fn report_limit(limits: &Rc<ServiceLimits>, target: &TargetSpec) {
     if limits.reports.borrow_mut().insert(target.id.clone()) {
-        let report = report_word(limits.clone(), target.id.clone(), target.born);
+        let report = report_word(limits.clone(), target.id.clone(), target.process_start);
         limits.peers.executor.spawn(report).detach();
     }
 }
 
-async fn report_word(limits: Rc<ServiceLimits>, target: TargetId, born: TargetBirth) {
+async fn report_word(limits: Rc<ServiceLimits>, target: TargetId, born: ProcessStart) {
     for _ in 0..REPORT_TRIES {
-        let Some(heard) = limits.board.borrow().word(&target) else {
+        let Some(heard) = limits.board.borrow().observation(&target) else {
             break;
         };
         if tell_word(&limits, &target, born, heard).await {
@@ -77,8 +77,8 @@
 async fn tell_word(
     limits: &Rc<ServiceLimits>,
     target: &TargetId,
-    born: TargetBirth,
-    heard: HeardWord,
+    born: ProcessStart,
+    heard: LimitObservation,
 ) -> bool {
     let term = limits.division.borrow().term().cloned();
     let Some(peer) = limits.placer() else {
@@ -94,9 +94,9 @@
         term,
         target: target.to_string(),
         born,
-        rate: heard.word.rate(),
-        sent_ms: age(heard.sent),
-        heard_ms: age(heard.heard),
+        rate: heard.signal.rate(),
+        sent_ms: age(heard.sent_at),
+        heard_ms: age(heard.received_at),
     };
     let request = WorkRequest::LimitReport(report);
     let reply = limits.peers.call(peer, &request, ANSWER_LIMIT).await;
@@ -114,8 +114,8 @@
 fn note_word(
     limits: &Rc<ServiceLimits>,
     target: &TargetId,
-    born: TargetBirth,
-    heard: HeardWord,
+    born: ProcessStart,
+    heard: LimitObservation,
     asked: Option<&LimitTerm>,
 ) -> bool {
     let role = limits.enter(asked);
@@ -134,11 +134,13 @@
 pub(crate) fn answer_report(limits: &Rc<ServiceLimits>, report: &LimitReport) -> WorkReply {
     let now = limits.peers.shared.now();
     let at = |age: u64| now.saturating_sub(Duration::from_millis(age));
-    let heard = HeardWord {
-        word: report.rate.map_or(LimitWord::Unlimited, LimitWord::Rate),
+    let heard = LimitObservation {
+        signal: report
+            .rate
+            .map_or(LimitSignal::Unlimited, LimitSignal::Rate),
         // It was on its way for so long at most.
-        sent: at(report.sent_ms).saturating_sub(ANSWER_LIMIT),
-        heard: at(report.heard_ms),
+        sent_at: at(report.sent_ms).saturating_sub(ANSWER_LIMIT),
+        received_at: at(report.heard_ms),
     };
     let target: TargetId = report.target.as_str().into();
     let asked = report.term.as_ref();
@@ -170,7 +172,7 @@
     let term = limits.division.borrow().term().cloned()?;
     let board = limits.board.borrow();
     let entries = board
-        .told()
+        .announced()
         .map(|(target, born, sequence, state)| LimitEntry {
             target: target.to_string(),
             born,
--- a/packages/turnford-serve/src/limit_place.rs
+++ b/packages/turnford-serve/src/limit_place.rs
@@ -7,7 +7,7 @@
 use turnford_fleet::TurnAnswer;
 use turnford_fleet::TurnAsk;
 use turnford_policy::Moment;
-use turnford_policy::PlaceNeed;
+use turnford_policy::PlacementRequest;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
@@ -52,7 +52,7 @@
 pub(crate) fn place_limited(
     traffic: &Traffic,
     desk: &ServiceDesk,
-    need: &PlaceNeed,
+    need: &PlacementRequest,
     turn: &TurnAsk,
 ) -> LimitedPlace {
     if !desk.limits.board.borrow().has_limits() {
@@ -87,7 +87,7 @@
     };
     let has_permit = limited.contains(&target.id);
     if let Err(wait) = divider.take(now, &target.id, PermitUse::Work) {
-        desk.engines.borrow_mut().note_ended(ticket);
+        desk.engines.borrow_mut().record_end(ticket);
         return LimitedPlace::Later(wait);
     }
     LimitedPlace::At {
@@ -101,7 +101,7 @@
 fn place_beside(
     traffic: &Traffic,
     desk: &ServiceDesk,
-    need: &PlaceNeed,
+    need: &PlacementRequest,
     left: &[TargetId],
 ) -> LimitedPlace {
     let now = traffic.shared.now();
@@ -122,7 +122,7 @@
 fn place_best(
     traffic: &Traffic,
     desk: &ServiceDesk,
-    need: &PlaceNeed,
+    need: &PlacementRequest,
 ) -> Option<(TargetSpec, u64)> {
     if desk.spec.borrow().engine.is_none() {
         let target = choose_plain(traffic, desk, &need.tried)?;
@@ -173,14 +173,14 @@
                 desk.limits
                     .board
                     .borrow_mut()
-                    .note_denied(&target.id, until);
+                    .record_denial(&target.id, until);
             }
             PermitEnd::Wait(span) => {
                 let until = traffic.shared.now() + span.max(LOOK_PAUSE);
                 desk.limits
                     .board
                     .borrow_mut()
-                    .note_denied(&target.id, until);
+                    .record_denial(&target.id, until);
             }
         }
     }
--- a/packages/turnford-serve/src/limit_watch.rs
+++ b/packages/turnford-serve/src/limit_watch.rs
@@ -115,7 +115,7 @@
     let mut division = limits.division.borrow_mut();
     let idle = division.divider().map_or_else(Vec::new, |divider| {
         let board = limits.board.borrow();
-        divider.keep_only(|target: &TargetId, born| board.knows(target, born));
+        divider.keep_only(|target: &TargetId, born| board.is_known(target, born));
         divider.note_reach(traffic.shared.view.load().reaches_half());
         divider.take_idle(now)
     });
--- a/packages/turnford-serve/src/limits.rs
+++ b/packages/turnford-serve/src/limits.rs
@@ -23,10 +23,10 @@
 use turnford_fleet::LimitTerm;
 use turnford_fleet::PermitUse;
 use turnford_fleet::PERMIT_SPAN;
-use turnford_policy::LimitBoard;
+use turnford_policy::LimitTable;
 use turnford_policy::Moment;
+use turnford_policy::ProcessStart;
 use turnford_policy::ServiceId;
-use turnford_policy::TargetBirth;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 use turnford_wire::LimitMark;
@@ -75,7 +75,7 @@
 pub(crate) struct ServiceLimits {
     pub(crate) peers: Rc<PeerLinks>,
     pub(crate) service: ServiceId,
-    pub(crate) board: RefCell<LimitBoard>,
+    pub(crate) board: RefCell<LimitTable>,
     pub(crate) division: RefCell<LimitDivision>,
     /// Whether the node that divides places for the service, as it does while there are limits.
     pub(crate) is_divided: Cell<bool>,
@@ -142,7 +142,7 @@
                 let service = &self.service;
                 log::info!("divides limits of service={service} term={number}");
                 self.is_divided.set(true);
-                self.board.borrow_mut().renumber();
+                self.board.borrow_mut().reset_sequences();
                 self.publish(true);
             }
             DivisionRole::Doubted(term) => {
@@ -179,7 +179,7 @@
                 term.number
             );
             self.is_divided.set(true);
-            self.board.borrow_mut().renumber();
+            self.board.borrow_mut().reset_sequences();
             self.peers.state(term.holder.work).note_heard_of();
         }
         is_later
@@ -237,7 +237,7 @@
             let target: TargetId = entry.target.as_str().into();
             let mut board = self.board.borrow_mut();
             let before = board.state(&target);
-            if board.set(now, &target, entry.born, entry.sequence, entry.state) {
+            if board.apply(now, &target, entry.born, entry.sequence, entry.state) {
                 is_new = true;
                 if before != entry.state {
                     let state = entry.state;
@@ -255,7 +255,7 @@
     pub(crate) async fn ask_permit(&self, target: &TargetSpec, purpose: PermitUse) -> PermitEnd {
         for _ in 0..ASK_TRIES {
             let asked_at = self.peers.shared.now();
-            let ask = self.permit_ask(&target.id, target.born, purpose);
+            let ask = self.permit_ask(&target.id, target.process_start, purpose);
             let reply = match self.placer() {
                 None => self.grant(&ask),
                 Some(peer) => {
@@ -304,7 +304,7 @@
     /// Returns how new this node's knowledge is.
     pub(crate) fn mark(&self) -> LimitMark {
         let mut sum = 0;
-        for (target, _, sequence, _) in self.board.borrow().told() {
+        for (target, _, sequence, _) in self.board.borrow().announced() {
             let mut hasher = SipHasher13::new();
             hasher.write(target.as_bytes());
             hasher.write_u64(sequence);
@@ -325,7 +325,7 @@
         metrics.note_service(&self.service, ServiceEvent::Permit);
     }
 
-    fn permit_ask(&self, target: &TargetId, born: TargetBirth, purpose: PermitUse) -> PermitAsk {
+    fn permit_ask(&self, target: &TargetId, born: ProcessStart, purpose: PermitUse) -> PermitAsk {
         PermitAsk {
             service: self.service.to_string(),
             term: self.division.borrow().term().cloned(),
--- a/packages/turnford-serve/src/opening.rs
+++ b/packages/turnford-serve/src/opening.rs
@@ -110,7 +110,7 @@
     let board = desk.board.borrow();
     let opening = board.opens_at(now, tried).ok_or(OpeningFault::Nowhere)?;
     let last = record.last_span.get();
-    let rounds = ahead as f64 / f64::from(board.places(tried).max(1));
+    let rounds = ahead as f64 / f64::from(board.total_slots(tried).max(1));
     let turn = opening.saturating_add(last.mul_f64(rounds));
     if turn.saturating_add(last) <= record.serve_by() {
         return Ok(opening);
--- a/packages/turnford-serve/src/outlook.rs
+++ b/packages/turnford-serve/src/outlook.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 
 use turnford_policy::FlowForecast;
-use turnford_policy::LONGEST_RETURN;
+use turnford_policy::MAX_RETRY_AFTER;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -52,10 +52,10 @@
                 MOVE_SPAN
             } else {
                 // Those that are refused together do not come back together.
-                let room = record.route.goal.saturating_sub(last);
+                let room = record.route.latency_objective.saturating_sub(last);
                 let spread = 1.0 + traffic.draw();
                 let back = forecast.end().saturating_sub(room).mul_f64(spread);
-                back.clamp(RETRY_AFTER, LONGEST_RETURN)
+                back.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
             };
             return StageFault::Hopeless { back_after };
         }
@@ -83,7 +83,7 @@
 async fn renew(traffic: &Rc<Traffic>, record: &RequestRecord, flow: &AdmittedFlow) -> FlowForecast {
     let is_open = |stage: usize| flow.is_open(stage);
     let least = least_span(traffic, record, is_open) + record.last_span.get();
-    let is_late = traffic.shared.now() + least > record.begun + record.route.goal;
+    let is_late = traffic.shared.now() + least > record.begun + record.route.latency_objective;
     let mut forecast = None;
     if let Some((placer, ticket)) = &flow.admitted {
         forecast = match placer.address {
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -13,8 +13,8 @@
 use turnford_adapter::PieceEnd;
 use turnford_fleet::CrashVerdict;
 use turnford_fleet::PermitUse;
-use turnford_policy::BatchBoard;
 use turnford_policy::BatchPlan;
+use turnford_policy::BatchScheduler;
 use turnford_policy::BatchSpec;
 use turnford_policy::Moment;
 use turnford_policy::PieceTicket;
@@ -58,7 +58,7 @@
 
 /// The pieces that wait for the targets of one cell.
 pub(crate) struct PieceDesk {
-    pub(crate) board: RefCell<BatchBoard>,
+    pub(crate) board: RefCell<BatchScheduler>,
     /// Targets of the cell.
     pub(crate) targets: RefCell<Vec<TargetSpec>>,
     takers: RefCell<HashMap<PieceTicket, PieceTaker>>,
@@ -73,7 +73,7 @@
 impl PieceDesk {
     pub(crate) fn new(spec: BatchSpec) -> Rc<Self> {
         Rc::new(Self {
-            board: RefCell::new(BatchBoard::new(spec)),
+            board: RefCell::new(BatchScheduler::new(spec)),
             targets: RefCell::default(),
             takers: RefCell::default(),
             last_fault: Cell::new(None),
@@ -95,7 +95,7 @@
             return Some(outcome);
         };
         // It may have been offered to another target, too.
-        self.board.borrow_mut().withdraw(ticket);
+        self.board.borrow_mut().cancel(ticket);
         let told = taker.outcome.try_send(outcome);
         told.err().map(async_channel::TrySendError::into_inner)
     }
@@ -128,7 +128,7 @@
     fn drop(&mut self) {
         let pieces = &self.cell.pieces;
         pieces.takers.borrow_mut().remove(&self.ticket);
-        pieces.board.borrow_mut().withdraw(self.ticket);
+        pieces.board.borrow_mut().cancel(self.ticket);
         // A result may have come that was never looked at.
         if let Ok(PieceOutcome::Made(result)) = self.outcome.try_recv() {
             release_results(&self.cell.traffic, vec![result]);
@@ -173,7 +173,7 @@
 
     /// Gives all waiting pieces back to the nodes that asked for them.
     pub(crate) fn hand_back(&self) {
-        let tickets = self.pieces.board.borrow_mut().take_all();
+        let tickets = self.pieces.board.borrow_mut().drain();
         for ticket in tickets {
             // A request that left needs no word.
             let _ = self.pieces.tell(ticket, PieceOutcome::NotOffered);
@@ -215,12 +215,12 @@
                 awake.into_iter().partition(needs_permit);
             let mut board = self.pieces.board.borrow_mut();
             for target in limited {
-                board.assume_known(now, &target.id);
+                board.assume_report(now, &target.id);
             }
-            board.take_unknown(now, &free)
+            board.take_unreported(now, &free)
         };
         if !unknown.is_empty() {
-            let waiting = self.pieces.board.borrow().waiting();
+            let waiting = self.pieces.board.borrow().queue_len();
             log::info!(
                 "gathers for service={} waiting={waiting}, asks targets={}",
                 self.desk.spec.borrow().name,
@@ -252,13 +252,13 @@
         let board = self.desk.board.borrow();
         let is_limited = !limits.is_open(now, &target.id) && limits.may_open(now, &target.id);
         let is_open = board.is_open(now, &target.id) && !board.is_paused(now, &target.id);
-        let has_use = || self.pieces.board.borrow().has_use_for(now, &target.id);
+        let has_use = || self.pieces.board.borrow().has_work_for(now, &target.id);
         is_limited && is_open && has_use()
     }
 
     /// Looks again when a pause or a deadline ends.
     fn schedule_look(&self, now: Moment) {
-        let look = self.pieces.board.borrow_mut().next_look(now);
+        let look = self.pieces.board.borrow_mut().next_wakeup(now);
         let Some(look) = look.into_iter().chain(self.rest_end(now)).min() else {
             return;
         };
@@ -277,13 +277,13 @@
 
     /// Returns when the next target's rest ends, where pieces wait.
     fn rest_end(&self, now: Moment) -> Option<Moment> {
-        if self.pieces.board.borrow().waiting() == 0 {
+        if self.pieces.board.borrow().queue_len() == 0 {
             return None;
         }
         let board = self.desk.board.borrow();
         let targets = self.pieces.targets.borrow();
         let ends = targets.iter();
-        let ends = ends.filter_map(|target| board.rests_until(now, &target.id));
+        let ends = ends.filter_map(|target| board.backoff_until(now, &target.id));
         ends.min()
     }
 
@@ -341,8 +341,8 @@
             return false;
         }
         let mut board = self.pieces.board.borrow_mut();
-        board.forget_report(target);
-        board.put_back_larger(ticket, work.clone());
+        board.invalidate_report(target);
+        board.requeue_larger(ticket, work.clone());
         true
     }
 
@@ -366,8 +366,8 @@
             if !self.note_unread(ticket) {
                 continue;
             }
-            if !may_have_run || self.desk.allowance.borrow_mut().take(now) {
-                self.pieces.board.borrow_mut().put_back(ticket, work);
+            if !may_have_run || self.desk.allowance.borrow_mut().try_take(now) {
+                self.pieces.board.borrow_mut().requeue(ticket, work);
             } else {
                 // A request that left needs no word.
                 let _ = self.pieces.tell(ticket, PieceOutcome::Failed(reason));
@@ -385,7 +385,7 @@
     }
     if let PermitEnd::Wait(span) | PermitEnd::Unknown(span) = end {
         let until = cell.traffic.shared.now() + span;
-        limits.board.borrow_mut().note_denied(&target.id, until);
+        limits.board.borrow_mut().record_denial(&target.id, until);
         Timer::after(span).await;
     }
     cell.pieces.asked.borrow_mut().remove(&target.id);
--- a/packages/turnford-serve/src/placement.rs
+++ b/packages/turnford-serve/src/placement.rs
@@ -14,9 +14,9 @@
 
 use turnford_fleet::CrashVerdict;
 use turnford_fleet::TurnAsk;
-use turnford_policy::PlaceNeed;
-use turnford_policy::PromptHome;
-use turnford_policy::PromptPart;
+use turnford_policy::PlacementRequest;
+use turnford_policy::PromptAffinity;
+use turnford_policy::PromptSegment;
 use turnford_policy::RequestDigest;
 use turnford_policy::TargetId;
 
@@ -40,10 +40,10 @@
 use crate::trial::HOLD_SPAN;
 
 /// Returns the hall that a request's last target will probably be in.
-pub(crate) fn plan_hall(desk: &ServiceDesk, parts: &[PromptPart]) -> Option<Arc<str>> {
+pub(crate) fn plan_hall(desk: &ServiceDesk, parts: &[PromptSegment]) -> Option<Arc<str>> {
     let board = desk.board.borrow();
-    let home = PromptHome::new(parts, board.open_targets().map(|target| &target.id));
-    let target = board.get(home.first()?)?;
+    let home = PromptAffinity::new(parts, board.open_targets().map(|target| &target.id));
+    let target = board.get(home.preferred()?)?;
     Some(target.hall.clone())
 }
 
@@ -79,13 +79,13 @@
     wish: &PlaceWish<'_>,
 ) -> PlaceEnd {
     let tried = wish.tried;
-    let mut need = PlaceNeed {
-        parts: record.facts.parts.clone(),
+    let mut need = PlacementRequest {
+        segments: record.facts.segments.clone(),
         prompt_tokens: record.facts.prompt_tokens,
-        answer_tokens: record.facts.answer_tokens,
+        max_output_tokens: record.facts.max_output_tokens,
         inputs: wish.inputs.to_vec(),
         tried: tried.to_vec(),
-        due: record.begun + record.route.goal,
+        due: record.begun + record.route.latency_objective,
         deadline: record.deadline,
     };
     let turn = turn_ask(traffic, record, wish);
@@ -164,7 +164,7 @@
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
     desk: &Rc<ServiceDesk>,
-    need: &PlaceNeed,
+    need: &PlacementRequest,
     turn: &TurnAsk,
 ) -> FoundPlace {
     let digest = record.digest.get();
@@ -207,7 +207,7 @@
     traffic: &Rc<Traffic>,
     desk: &Rc<ServiceDesk>,
     digest: RequestDigest,
-    need: &PlaceNeed,
+    need: &PlacementRequest,
     turn: &TurnAsk,
 ) -> FoundPlace {
     let (place, is_alone) = match place_checked(traffic, desk, digest, need, turn) {
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -7,8 +7,8 @@
 use turnford_fleet::DivisionRole;
 use turnford_fleet::TurnAsk;
 use turnford_policy::Moment;
-use turnford_policy::PlaceNeed;
-use turnford_policy::PromptPart;
+use turnford_policy::PlacementRequest;
+use turnford_policy::PromptSegment;
 use turnford_policy::RequestDigest;
 use turnford_wire::PlaceAsk;
 use turnford_wire::PlaceReply;
@@ -38,7 +38,7 @@
     traffic: &Rc<Traffic>,
     desk: &Rc<ServiceDesk>,
     digest: RequestDigest,
-    need: &PlaceNeed,
+    need: &PlacementRequest,
     turn: &TurnAsk,
     placer: SocketAddr,
 ) -> Option<FoundPlace> {
@@ -55,7 +55,7 @@
     desk: &ServiceDesk,
     now: Moment,
     digest: RequestDigest,
-    need: &PlaceNeed,
+    need: &PlacementRequest,
     turn: &TurnAsk,
 ) -> PlaceAsk {
     let millis = |until: Moment| {
@@ -67,12 +67,12 @@
         service: desk.spec.borrow().name.to_string(),
         digest: digest.0,
         parts: need
-            .parts
+            .segments
             .iter()
             .map(|part| (part.id, part.tokens))
             .collect(),
         prompt_tokens: need.prompt_tokens,
-        answer_tokens: need.answer_tokens,
+        answer_tokens: need.max_output_tokens,
         inputs: need
             .inputs
             .iter()
@@ -208,15 +208,15 @@
     }
 }
 
-fn asked_need(ask: PlaceAsk, now: Moment) -> PlaceNeed {
+fn asked_need(ask: PlaceAsk, now: Moment) -> PlacementRequest {
     let parts = ask.parts.into_iter();
     let inputs = ask.inputs.into_iter();
-    PlaceNeed {
-        parts: parts
-            .map(|(id, tokens)| PromptPart { id, tokens })
+    PlacementRequest {
+        segments: parts
+            .map(|(id, tokens)| PromptSegment { id, tokens })
             .collect(),
         prompt_tokens: ask.prompt_tokens,
-        answer_tokens: ask.answer_tokens,
+        max_output_tokens: ask.answer_tokens,
         inputs: inputs.map(|(hall, bytes)| (hall.into(), bytes)).collect(),
         tried: ask.tried.into_iter().map(Into::into).collect(),
         due: now + Duration::from_millis(ask.due_ms),
