--- a/packages/turnford-serve/src/progress.rs
+++ b/packages/turnford-serve/src/progress.rs
@@ -62,25 +62,27 @@
     match news {
         RunNews::Begun(ticket, span) => {
             let span = Duration::from_millis(u64::from(span));
-            let slowness = engines.note_begun(ticket, span);
+            let slowness = engines.record_first_event(ticket, span);
             if let (Some(slowness), Some(target)) = (slowness, engines.target_of(ticket)) {
                 let mut board = desk.board.borrow_mut();
-                board.note_slowness(now, target, slowness);
+                board.record_slowness(now, target, slowness);
             }
         }
         RunNews::Refused(ticket) => {
             if let Some(target) = engines.target_of(ticket) {
-                desk.board.borrow_mut().note_refused(now, target);
+                desk.board.borrow_mut().record_refusal(now, target);
             }
         }
         RunNews::Ended(ticket) => {
-            engines.note_ended(ticket);
+            engines.record_end(ticket);
             desk.trials.borrow_mut().end(ticket);
         }
         RunNews::StageDone(ticket, stage) => {
-            desk.flow.borrow_mut().note_stage(ticket, stage as usize);
+            desk.flow
+                .borrow_mut()
+                .record_stage_done(ticket, stage as usize);
         }
-        RunNews::StagesEnded(ticket) => desk.flow.borrow_mut().note_ended(ticket),
+        RunNews::StagesEnded(ticket) => desk.flow.borrow_mut().record_end(ticket),
     }
 }
 
--- a/packages/turnford-serve/src/record.rs
+++ b/packages/turnford-serve/src/record.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use turnford_policy::AccountId;
-use turnford_policy::CallFacts;
+use turnford_policy::CallAttributes;
 use turnford_policy::Moment;
 use turnford_policy::RequestDigest;
 use turnford_policy::ResultCode;
@@ -25,7 +25,7 @@
 /// A request from its head to its end. Dropped without an end, it says that the client left.
 pub(crate) struct RequestRecord {
     shared: Arc<ServeShared>,
-    pub(crate) facts: CallFacts,
+    pub(crate) facts: CallAttributes,
     pub(crate) route: Arc<RouteSpec>,
     pub(crate) account: Option<AccountId>,
     /// Rank: 0 goes first.
@@ -55,14 +55,14 @@
 impl RequestRecord {
     pub(crate) fn new(
         shared: Arc<ServeShared>,
-        facts: CallFacts,
+        facts: CallAttributes,
         route: Arc<RouteSpec>,
         account: Option<AccountId>,
         rank: u8,
         version: u64,
     ) -> Rc<Self> {
         let begun = shared.now();
-        let patience = facts.patience.unwrap_or(route.timeout);
+        let patience = facts.client_timeout.unwrap_or(route.timeout);
         let deadline = begun + patience.min(route.timeout);
         shared.running.fetch_add(1, Ordering::SeqCst);
         Rc::new(Self {
@@ -94,7 +94,7 @@
     /// Returns when its first answer must come for the client to be there still, and for this node to
     /// be running.
     pub(crate) fn serve_by(&self) -> Moment {
-        let patience = self.route.first_patience;
+        let patience = self.route.first_event_timeout;
         let client = patience.map(|patience| self.begun + patience);
         let ends = [client, self.shared.end_at()];
         let ends = ends.into_iter().flatten();
@@ -103,7 +103,7 @@
 
     /// Returns when its answer is due.
     pub(crate) fn due(&self) -> Moment {
-        self.begun + self.route.goal
+        self.begun + self.route.latency_objective
     }
 
     /// Returns the time until the deadline.
@@ -170,9 +170,9 @@
         self.shared.metrics.note_end(account, self.rank, code, time);
         let story = self.story.borrow();
         let head = self.head.get();
-        let is_prompt = head.is_some_and(|head| head <= self.route.goal);
+        let is_prompt = head.is_some_and(|head| head <= self.route.latency_objective);
         let pause = self.longest_pause();
-        let is_steady = self.route.pause_goal.is_none_or(|goal| pause <= goal);
+        let is_steady = self.route.gap_objective.is_none_or(|goal| pause <= goal);
         let is_plain = code.is_whole() && is_prompt && is_steady;
         let level = if is_plain {
             log::Level::Info
--- a/packages/turnford-serve/src/release.rs
+++ b/packages/turnford-serve/src/release.rs
@@ -120,7 +120,7 @@
 /// Returns the time after which results go by themselves.
 fn kept_span(desk: &ServiceDesk) -> Duration {
     let batch = desk.spec.borrow().batch.clone();
-    batch.map_or(Duration::ZERO, |batch| batch.result_span)
+    batch.map_or(Duration::ZERO, |batch| batch.result_ttl)
 }
 
 /// Waits until a target that wants rest takes calls again; false if its results go by themselves before.
@@ -133,7 +133,7 @@
     let latest = traffic.shared.now() + kept_span(desk);
     loop {
         let now = traffic.shared.now();
-        let rests_until = desk.board.borrow().rests_until(now, &maker.id);
+        let rests_until = desk.board.borrow().backoff_until(now, &maker.id);
         let Some(until) = rests_until else {
             return true;
         };
--- a/packages/turnford-serve/src/request.rs
+++ b/packages/turnford-serve/src/request.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 
 use turnford_adapter::decode_call;
-use turnford_policy::CallFacts;
+use turnford_policy::CallAttributes;
 use turnford_policy::FlowRefusal;
 use turnford_policy::RequestDigest;
 use turnford_policy::ResultCode;
@@ -77,7 +77,7 @@
         Ok(record) => record,
         Err(refusal) => return refuse(&traffic, &parts, &refusal),
     };
-    let limit = view.config.limits.body_bytes;
+    let limit = view.config.limits.max_body_bytes;
     let body = match read_body(&record, incoming, limit).await {
         Ok(body) => body,
         Err((code, reason)) => {
@@ -109,9 +109,9 @@
     let route = find_route(view, parts)?;
     let facts = decode_call(parts)
         .map_err(|problem| EarlyRefusal::new(ResultCode::BadRequest, problem.to_string()))?;
-    let key = facts.key.as_deref();
+    let key = facts.api_key.as_deref();
     let grant = key.and_then(|key| view.table.grant(key)).cloned();
-    if view.table.needs_keys() && grant.is_none() && !route.anonymous {
+    if view.table.requires_key() && grant.is_none() && !route.anonymous {
         let reason = "no or an unknown key";
         return Err(EarlyRefusal::new(ResultCode::UnknownAccount, reason));
     }
@@ -129,7 +129,7 @@
 fn start_record(
     traffic: &Traffic,
     view: &RouteView,
-    facts: CallFacts,
+    facts: CallAttributes,
     route: std::sync::Arc<RouteSpec>,
     account: Option<turnford_policy::AccountId>,
     rank: u8,
@@ -225,12 +225,12 @@
     };
     record
         .last_span
-        .set(desk.last_span(record.facts.own_tokens()));
+        .set(desk.last_span(record.facts.unique_tokens()));
     if let Err(fault) = check_opening(traffic, record, &desk) {
         // Its stages would run in vain.
         return refuse_closed(record, fault);
     }
-    *record.planned_hall.borrow_mut() = plan_hall(&desk, &record.facts.parts);
+    *record.planned_hall.borrow_mut() = plan_hall(&desk, &record.facts.segments);
     for _ in 0..STAGE_ROUNDS {
         let flow = match admit_flow(traffic, record, &desk).await {
             Ok(flow) => flow,
@@ -283,9 +283,9 @@
 
 /// Refuses a request whose stages would be late.
 fn refuse_late(record: &RequestRecord, refusal: &FlowRefusal) -> Response<AnswerBody> {
-    record.note(format_args!("late by {}ms", refusal.late.as_millis()));
+    record.note(format_args!("late by {}ms", refusal.lateness.as_millis()));
     let reason = "the queues of its stages are too long";
-    let back_after = refusal.back_after.max(RETRY_AFTER);
+    let back_after = refusal.retry_after.max(RETRY_AFTER);
     refuse_admitted(record, ResultCode::DeadlineTooShort, reason, back_after)
 }
 
--- a/packages/turnford-serve/src/resting.rs
+++ b/packages/turnford-serve/src/resting.rs
@@ -39,7 +39,7 @@
         .mul_f64(LATER_PART);
     let span = rest.saturating_add(later.mul_f64(traffic.draw()));
     let mut board = desk.board.borrow_mut();
-    board.note_rest(now, &target.id, target.born, span);
+    board.record_backoff(now, &target.id, target.process_start, span);
     drop(board);
     desk.line.wake_first();
     if desk.spec.borrow().batch.is_some() {
@@ -60,7 +60,7 @@
     let news = RestNews {
         service: target.service.to_string(),
         target: target.id.to_string(),
-        born: target.born,
+        born: target.process_start,
         rest_ms: u64::try_from(rest.as_millis()).unwrap_or(u64::MAX),
     };
     tell_peers(&traffic.peers, peers, &WorkRequest::Resting(news));
@@ -72,7 +72,7 @@
         let now = traffic.shared.now();
         let rest = Duration::from_millis(news.rest_ms);
         let mut board = desk.board.borrow_mut();
-        board.note_told_rest(now, &news.target, news.born, rest);
+        board.record_batcher_backoff(now, &news.target, news.born, rest);
     }
     WorkReply::Noted
 }
--- a/packages/turnford-serve/src/stage.rs
+++ b/packages/turnford-serve/src/stage.rs
@@ -171,14 +171,14 @@
 fn note_firsts(traffic: &Traffic, place: &CellPlace, count: usize) {
     let now = traffic.shared.now();
     let mut allowance = place.desk.allowance.borrow_mut();
-    allowance.note_firsts(now, count);
+    allowance.record_first_attempts(now, count);
 }
 
 /// Takes repeats of so many pieces from the service's allowance, all or none.
 fn may_repeat(traffic: &Traffic, record: &RequestRecord, place: &CellPlace, count: usize) -> bool {
     let now = traffic.shared.now();
     let mut allowance = place.desk.allowance.borrow_mut();
-    now < record.deadline && allowance.take_many(now, count)
+    now < record.deadline && allowance.try_take_many(now, count)
 }
 
 fn piece_work(
@@ -196,13 +196,13 @@
         attempt: Arc::from(record.facts.attempt.as_str()),
         stage: needs.stage,
         piece,
-        key: key.map(Arc::from),
+        piece_key: key.map(Arc::from),
         inputs: needs.inputs.clone(),
         deadline: record.deadline,
         due: needs.due,
         ranks: (record.rank, record.route.rank),
         result_bytes: record.route.stages[needs.stage].result_bytes,
         hall: needs.hall.clone(),
-        hall_until: now + hall_patience(needs.bytes),
+        hall_deadline: now + hall_patience(needs.bytes),
     }
 }
--- a/packages/turnford-serve/src/stages.rs
+++ b/packages/turnford-serve/src/stages.rs
@@ -59,13 +59,13 @@
         for stage in 0..graph.len() {
             let is_due = graph.inputs(stage).iter().all(|&before| done[before]);
             let waits = is_heavy(record, &graph, stage) && has_more(record, &graph, &begun);
-            if graph.count(stage) > 0 && is_due && !waits && !begun[stage] {
+            if graph.piece_count(stage) > 0 && is_due && !waits && !begun[stage] {
                 begun[stage] = true;
                 let needs = stage_needs(traffic, record, &graph, &held, stage);
                 tasks.push(start_stage(traffic, record, needs, &ends));
             }
         }
-        if (0..graph.len()).all(|stage| graph.count(stage) == 0 || done[stage]) {
+        if (0..graph.len()).all(|stage| graph.piece_count(stage) == 0 || done[stage]) {
             break;
         }
         let Ok((stage, end)) = ended.recv().await else {
@@ -84,8 +84,8 @@
         give_up_used(&graph, &done, &mut held);
     }
     Ok(StageResults {
-        handles: held.handles(graph.last()),
-        halls: held.hall_bytes(record, graph.last()),
+        handles: held.handles(graph.sinks()),
+        halls: held.hall_bytes(record, graph.sinks()),
         held: RefCell::new(held),
     })
 }
@@ -119,7 +119,7 @@
 /// Adds up when stages end, those that need others beginning once these are done.
 fn add_spans(graph: &StageGraph, span_of: impl Fn(usize) -> Option<Duration>) -> FlowForecast {
     let mut ends = vec![Duration::ZERO; graph.len()];
-    for stage in (0..graph.len()).filter(|&stage| graph.count(stage) > 0) {
+    for stage in (0..graph.len()).filter(|&stage| graph.piece_count(stage) > 0) {
         let inputs = graph.inputs(stage).iter().map(|&before| ends[before]);
         let begin = inputs.max().unwrap_or(Duration::ZERO);
         ends[stage] = span_of(stage).map_or(Duration::ZERO, |span| begin + span);
@@ -138,7 +138,7 @@
     let spec = traffic.desk(service).map(|desk| desk.spec.borrow().clone());
     let batch = spec.and_then(|spec| spec.batch.clone());
     batch.map_or(Duration::ZERO, |batch| {
-        batch.call_span + batch.piece_span * graph.count(stage)
+        batch.call_overhead + batch.piece_time * graph.piece_count(stage)
     })
 }
 
@@ -160,7 +160,7 @@
 /// Gives up the results that every stage that needs them has used.
 fn give_up_used(graph: &StageGraph, done: &[bool], held: &mut HeldResults) {
     for stage in 0..graph.len() {
-        let mut users = graph.users(stage).peekable();
+        let mut users = graph.dependents(stage).peekable();
         if users.peek().is_some() && users.all(|user| done[user]) {
             held.give_up(stage);
         }
@@ -170,7 +170,7 @@
 /// Returns the stages whose results only this one needs.
 fn only_inputs(graph: &StageGraph, stage: usize) -> Vec<usize> {
     let inputs = graph.inputs(stage).iter().copied();
-    let is_only = |before: &usize| graph.users(*before).count() == 1;
+    let is_only = |before: &usize| graph.dependents(*before).count() == 1;
     inputs.filter(is_only).collect()
 }
 
@@ -178,12 +178,12 @@
 /// as long as the other stages run, so such a stage begins last.
 fn is_heavy(record: &RequestRecord, graph: &StageGraph, stage: usize) -> bool {
     let bytes = record.route.stages[stage].result_bytes;
-    bytes >= HEAVY_RESULT && graph.inputs(stage).is_empty() && graph.last().contains(&stage)
+    bytes >= HEAVY_RESULT && graph.inputs(stage).is_empty() && graph.sinks().contains(&stage)
 }
 
 /// Tells whether a stage whose results are not large has yet to begin.
 fn has_more(record: &RequestRecord, graph: &StageGraph, begun: &[bool]) -> bool {
-    let mut left = (0..graph.len()).filter(|&stage| graph.count(stage) > 0 && !begun[stage]);
+    let mut left = (0..graph.len()).filter(|&stage| graph.piece_count(stage) > 0 && !begun[stage]);
     left.any(|stage| !is_heavy(record, graph, stage))
 }
 
@@ -195,14 +195,14 @@
     held: &HeldResults,
     stage: usize,
 ) -> StageNeeds {
-    let count = graph.count(stage);
+    let count = graph.piece_count(stage);
     let size = |stage: usize| {
         let bytes = record.route.stages[stage].result_bytes;
-        bytes * u64::from(graph.count(stage))
+        bytes * u64::from(graph.piece_count(stage))
     };
     let inputs = graph.inputs(stage);
     let (hall, bytes) = if inputs.is_empty() {
-        let goes_last = graph.last().contains(&stage);
+        let goes_last = graph.sinks().contains(&stage);
         let planned = record.planned_hall.borrow().clone();
         (planned.filter(|_| goes_last), size(stage))
     } else {
@@ -212,7 +212,7 @@
         (held.main_hall(inputs), bytes)
     };
     let later = later_span(traffic, record, graph, stage);
-    let due = record.begun + record.route.goal.saturating_sub(later);
+    let due = record.begun + record.route.latency_objective.saturating_sub(later);
     StageNeeds {
         stage,
         count,
@@ -231,7 +231,7 @@
     graph: &StageGraph,
     stage: usize,
 ) -> Duration {
-    let users = graph.users(stage);
+    let users = graph.dependents(stage);
     let spans = users.map(|user| {
         stage_span(traffic, record, graph, user)
             + stage_wait(traffic, record, user)
--- a/packages/turnford-serve/src/stream.rs
+++ b/packages/turnford-serve/src/stream.rs
@@ -114,7 +114,7 @@
         if std::mem::take(&mut is_first) {
             record.note(format_args!("first event"));
             record.note_head();
-            desk.note_last(record.facts.own_tokens(), record.last_elapsed());
+            desk.note_last(record.facts.unique_tokens(), record.last_elapsed());
             placed.note_begun();
         }
         if sender.send(Ok(chunk)).await.is_err() {
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -147,7 +147,7 @@
         board.set_targets(own);
         for target in before {
             let listed = board.get(&target.id);
-            if listed.is_some_and(|listed| listed.born == target.born) {
+            if listed.is_some_and(|listed| listed.process_start == target.process_start) {
                 continue;
             }
             self.shelf.borrow_mut().forget(target.address);
@@ -156,11 +156,11 @@
             }
         }
         let now = self.shared.now();
-        desk.limits.board.borrow_mut().keep_only(now, &board);
+        desk.limits.board.borrow_mut().retain_listed(now, &board);
         let mut engines = desk.engines.borrow_mut();
-        engines.keep_only(&board);
+        engines.retain_listed(&board);
         if let Some(engine) = &desk.spec.borrow().engine {
-            engines.set_capacity(engine.memory_tokens);
+            engines.set_capacity(engine.kv_cache_tokens);
         }
         drop(board);
         desk.refresh_cells();
@@ -176,7 +176,7 @@
         for cell in self.cells(desk) {
             let mut board = cell.pieces.board.borrow_mut();
             for handle in handles {
-                board.note_released(handle);
+                board.record_release(handle);
             }
             drop(board);
             cell.pump();
--- a/packages/turnford-serve/src/trial.rs
+++ b/packages/turnford-serve/src/trial.rs
@@ -8,7 +8,7 @@
 use turnford_fleet::CrashVerdict;
 use turnford_fleet::TrialEntry;
 use turnford_fleet::TurnAsk;
-use turnford_policy::PlaceNeed;
+use turnford_policy::PlacementRequest;
 use turnford_policy::RequestDigest;
 use turnford_policy::ResultCode;
 
@@ -111,7 +111,7 @@
     traffic: &Traffic,
     desk: &ServiceDesk,
     digest: RequestDigest,
-    need: &PlaceNeed,
+    need: &PlacementRequest,
     turn: &TurnAsk,
 ) -> CheckedPlace {
     let now = traffic.shared.now();
--- a/packages/turnford-serve/src/words.rs
+++ b/packages/turnford-serve/src/words.rs
@@ -8,7 +8,7 @@
 use turnford_adapter::decode_limit;
 use turnford_adapter::decode_word;
 use turnford_adapter::TargetWord;
-use turnford_policy::HeardWord;
+use turnford_policy::LimitObservation;
 use turnford_policy::Moment;
 use turnford_policy::TargetSpec;
 
@@ -60,22 +60,22 @@
     attempt: Option<&str>,
     sent: Moment,
 ) {
-    let word = match decode_limit(parts, attempt) {
-        Ok(Some(word)) => word,
+    let signal = match decode_limit(parts, attempt) {
+        Ok(Some(signal)) => signal,
         Ok(None) => return,
         Err(problem) => {
             log::warn!("target={} names a limit: {problem}", target.id);
             return;
         }
     };
-    if word.rate().is_some() {
+    if signal.rate().is_some() {
         let metrics = &traffic.shared.metrics;
         metrics.note_service(&target.service, ServiceEvent::NamedLimit);
     }
-    let heard = HeardWord {
-        word,
-        sent,
-        heard: traffic.shared.now(),
+    let heard = LimitObservation {
+        signal,
+        sent_at: sent,
+        received_at: traffic.shared.now(),
     };
     hear_limit(&desk.limits, target, heard, attempt.unwrap_or("-"));
 }
--- a/packages/turnford-wire/src/route.rs
+++ b/packages/turnford-wire/src/route.rs
@@ -5,7 +5,7 @@
 use turnford_fleet::CrashNews;
 use turnford_fleet::LimitTerm;
 use turnford_fleet::MemberUpdate;
-use turnford_policy::StorePlace;
+use turnford_policy::StorePosition;
 use turnford_policy::DIGEST_BYTES;
 
 use crate::LimitMark;
@@ -21,7 +21,7 @@
     /// Version of its configuration.
     pub config: u64,
     /// Place in the store's history that it knew when a target changed last.
-    pub targets: StorePlace,
+    pub targets: StorePosition,
 }
 
 /// A place in the changes of the targets as one process counted them.
@@ -103,7 +103,7 @@
     /// The whole configuration as the store holds it, if it is newer.
     pub config: Option<PackedText>,
     /// Place in the store's history up to which the node knows the configuration.
-    pub config_place: StorePlace,
+    pub config_place: StorePosition,
     /// Whether these are all targets, or only those that changed.
     pub is_whole: bool,
     /// Targets that are new or changed.
@@ -111,7 +111,7 @@
     /// Targets that are gone.
     pub gone: Vec<String>,
     /// Place in the store's history up to which the node knows the targets.
-    pub target_place: StorePlace,
+    pub target_place: StorePosition,
     /// Place from which to ask on.
     pub cursor: ViewCursor,
     /// Milliseconds since the store last said that this is all, when the answer began.
