--- a/packages/turnford-node/examples/capacity.rs
+++ b/packages/turnford-node/examples/capacity.rs
@@ -38,11 +38,11 @@
 use turnford_fleet::ShareDemand;
 use turnford_fleet::ShareLender;
 use turnford_fleet::ShareSize;
-use turnford_policy::PoolOffer;
 use turnford_policy::PoolSettings;
 use turnford_policy::ServicePool;
 use turnford_policy::StageOutcome;
 use turnford_policy::StageWork;
+use turnford_policy::SubmitResult;
 use turnford_policy::TargetFacts;
 use turnford_wire::decode_request;
 use turnford_wire::encode_reply;
@@ -236,7 +236,7 @@
         }),
         slots: 64,
         cost: 1.0,
-        distance: Duration::from_micros(500),
+        one_way_delay: Duration::from_micros(500),
         models: Vec::new(),
     }
 }
@@ -248,10 +248,10 @@
         share: 1.0,
         cost_weight: 0.2,
         length: 640,
-        expected: Duration::from_millis(700),
+        expected_time: Duration::from_millis(700),
         latest_start: Duration::from_secs(3),
         latest_end: Duration::from_secs(4),
-        hopeless_after: Duration::from_secs(3),
+        infeasible_after: Duration::from_secs(3),
         model: None,
         prefix: Some(7),
         tried: Vec::new(),
@@ -270,8 +270,8 @@
         });
         let decide = time_each(200_000, |number| {
             let now = Duration::from_millis(u64::from(number));
-            if let PoolOffer::Run(placement) = pool.offer(now, work()) {
-                pool.finish(now, &placement, StageOutcome::Whole);
+            if let SubmitResult::Run(placement) = pool.submit(now, work()) {
+                pool.finish(now, &placement, StageOutcome::Completed);
             }
         });
         let names: Vec<_> = pool
--- a/packages/turnford-node/src/admit.rs
+++ b/packages/turnford-node/src/admit.rs
@@ -67,7 +67,7 @@
     pub(crate) fn settle(&mut self, stage: usize) {
         let class = self.class;
         if let Some((pool, expected)) = self.open.get_mut(stage).and_then(Option::take) {
-            pool.with(|_, pool| pool.settle(class, expected));
+            pool.with(|_, pool| pool.remove_pending(class, expected));
         }
     }
 }
@@ -246,8 +246,8 @@
         };
         let length = stage_length(stage, chain.input, chain.max_tokens);
         let (demand, expected) = pool.with(|now, pool| {
-            let demand = pool.demand(now, class, length, stage.quantile);
-            (demand, pool.expected(now, length))
+            let demand = pool.stage_demand(now, class, length, stage.quantile);
+            (demand, pool.expected_time(now, length))
         });
         demands.push(demand);
         open.push(Some((pool, expected)));
@@ -271,7 +271,7 @@
         }
     };
     for (pool, expected) in open.iter().flatten() {
-        pool.with(|_, pool| pool.promise(class, *expected));
+        pool.with(|_, pool| pool.add_pending(class, *expected));
     }
     Ok((budget, PromiseGuard { class, open }))
 }
--- a/packages/turnford-node/src/answer.rs
+++ b/packages/turnford-node/src/answer.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use turnford_http::HttpResponse;
 use turnford_policy::AttemptId;
-use turnford_policy::RanWord;
+use turnford_policy::RanStatus;
 use turnford_policy::ResultCode;
 
 /// What one stage did, for the caller and the log.
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RequestEnd {
     pub(crate) code: ResultCode,
-    pub(crate) ran: RanWord,
+    pub(crate) ran: RanStatus,
     pub(crate) message: String,
     pub(crate) output: Option<String>,
     pub(crate) retry_after: Option<Duration>,
@@ -54,7 +54,7 @@
     pub(crate) fn not_run(code: ResultCode, message: impl Into<String>) -> Self {
         Self {
             code,
-            ran: RanWord::No,
+            ran: RanStatus::No,
             message: message.into(),
             output: None,
             retry_after: None,
@@ -75,7 +75,7 @@
             code: self.code.number(),
             name: self.code.name(),
             ran: self.ran.as_str(),
-            whole: self.code.is_whole(),
+            whole: self.code.is_complete(),
             message: &self.message,
             output: self.output.as_deref().filter(|_| with_output),
             retry_after_ms: self.retry_after.map(millis),
--- a/packages/turnford-node/src/claim.rs
+++ b/packages/turnford-node/src/claim.rs
@@ -11,7 +11,7 @@
 use turnford_fleet::ClaimState;
 use turnford_fleet::ClaimVerdict;
 use turnford_policy::AttemptId;
-use turnford_policy::ClaimKnowledge;
+use turnford_policy::ClaimEvidence;
 use turnford_policy::Moment;
 use turnford_policy::RequestEvidence;
 use turnford_policy::ResultCode;
@@ -127,23 +127,15 @@
     let (knowledge, code, message) = match taken {
         ClaimState::Finished(code) if code != unknown => {
             let message = "the request with this id ran before";
-            (ClaimKnowledge::Ran, ResultCode::ClaimFinished, message)
+            (ClaimEvidence::Ran, ResultCode::ClaimFinished, message)
         }
         ClaimState::Finished(_) => {
             let message = "the request with this id was started and its end is not known";
-            (
-                ClaimKnowledge::MayHaveRun,
-                ResultCode::ClaimUnknown,
-                message,
-            )
+            (ClaimEvidence::MayHaveRun, ResultCode::ClaimUnknown, message)
         }
         ClaimState::Held | ClaimState::Released => {
             let message = "the request with this id is being run, or its node was lost";
-            (
-                ClaimKnowledge::MayHaveRun,
-                ResultCode::ClaimRunning,
-                message,
-            )
+            (ClaimEvidence::MayHaveRun, ResultCode::ClaimRunning, message)
         }
     };
     let mut end = RequestEnd::not_run(code, message);
--- a/packages/turnford-node/src/control/caches.rs
+++ b/packages/turnford-node/src/control/caches.rs
@@ -56,10 +56,10 @@
     if let Some(pool) = context.state.pool(service) {
         pool.with(|_, pool| {
             if gap {
-                pool.note_prefix_gap(engine);
+                pool.clear_prefixes(engine);
             }
             for event in &found.events {
-                pool.note_prefix(engine, event.prefix, event.present);
+                pool.apply_cache_event(engine, event.prefix, event.present);
             }
         });
     }
--- a/packages/turnford-node/src/control/digests.rs
+++ b/packages/turnford-node/src/control/digests.rs
@@ -65,9 +65,9 @@
 }
 
 fn service_load(now: Moment, service: &str, pool: &ServicePool) -> ServiceLoad {
-    let busy = pool.views().iter().filter(|view| view.own() > 0);
+    let busy = pool.views().iter().filter(|view| view.own_inflight() > 0);
     let inflight = busy.map(|view| {
-        let count = u16::try_from(view.own()).unwrap_or(u16::MAX);
+        let count = u16::try_from(view.own_inflight()).unwrap_or(u16::MAX);
         (mark_target(&view.facts.id), count)
     });
     let summary = pool.summary(now);
@@ -92,7 +92,7 @@
         let mean = digests.service_mean(service);
         let (backlog, inflight) = digests.service_load(service);
         pool.with(|now, pool| {
-            pool.apply_peers(backlog, node_share);
+            pool.apply_peer_backlog(backlog, node_share);
             if let Some(mean) = mean {
                 pool.apply_peer_mean(mean);
             }
--- a/packages/turnford-node/src/control/targets.rs
+++ b/packages/turnford-node/src/control/targets.rs
@@ -103,7 +103,7 @@
                 report.models.join(", ")
             );
         }
-        if !report.leaving && pool.mark_staying(&target, taken_at) {
+        if !report.leaving && pool.mark_active(&target, taken_at) {
             log::info!("target {target} takes work again, by its own report");
         }
         report.leaving && pool.mark_leaving(now, &target)
@@ -176,7 +176,7 @@
             continue;
         };
         let leaving = entry.state == VmState::Leaving;
-        if pool.with(|now, pool| pool.mark_listed(now, &entry.name, leaving)) {
+        if pool.with(|now, pool| pool.apply_listed_leaving(now, &entry.name, leaving)) {
             tell_leaving(context, &entry.service, &entry.name, "the VM list");
         }
     }
@@ -197,7 +197,7 @@
         hardware: Arc::from(entry.hardware.as_str()),
         slots: entry.slots,
         cost: entry.cost,
-        distance,
+        one_way_delay: distance,
         models: entry
             .models
             .iter()
--- a/packages/turnford-node/src/node.rs
+++ b/packages/turnford-node/src/node.rs
@@ -69,7 +69,7 @@
         settings.inner = inner.local_addr()?;
         settings.hold_limit = settings.hold_limit.max(1);
         let mut pool_settings = options.pool;
-        pool_settings.hold_limit = settings.hold_limit;
+        pool_settings.queue_limit = settings.hold_limit;
         let incarnation: u64 = rand::random();
         pool_settings.seed ^= incarnation;
         let admits = options.admits;
--- a/packages/turnford-node/src/place.rs
+++ b/packages/turnford-node/src/place.rs
@@ -10,16 +10,16 @@
 use async_channel::Receiver;
 use async_channel::Sender;
 use turnford_policy::Clock;
-use turnford_policy::HoldTicket;
-use turnford_policy::HoldVerdict;
 use turnford_policy::Moment;
-use turnford_policy::PoolOffer;
 use turnford_policy::PoolSettings;
+use turnford_policy::QueueDecision;
+use turnford_policy::QueueTicket;
 use turnford_policy::ResultCode;
 use turnford_policy::ServicePool;
 use turnford_policy::StageOutcome;
 use turnford_policy::StagePlacement;
 use turnford_policy::StageWork;
+use turnford_policy::SubmitResult;
 
 /// One service's pool, shared by the traffic threads.
 ///
@@ -31,7 +31,7 @@
 
 struct PoolInner {
     pool: ServicePool,
-    waiters: HashMap<HoldTicket, Sender<HoldVerdict>>,
+    waiters: HashMap<QueueTicket, Sender<QueueDecision>>,
 }
 
 /// Why a stage got no target.
@@ -50,8 +50,8 @@
 /// A wait. Dropped before its verdict, it leaves the queue or gives the target back.
 struct WaitGuard<'a> {
     pool: &'a StagePool,
-    ticket: HoldTicket,
-    verdicts: Receiver<HoldVerdict>,
+    ticket: QueueTicket,
+    verdicts: Receiver<QueueDecision>,
     done: bool,
 }
 
@@ -63,10 +63,10 @@
         let now = self.pool.clock.now();
         let mut inner = self.pool.lock();
         inner.waiters.remove(&self.ticket);
-        if inner.pool.withdraw(self.ticket) {
+        if inner.pool.cancel(self.ticket) {
             return;
         }
-        if let Ok(HoldVerdict::Run(_, placement)) = self.verdicts.try_recv() {
+        if let Ok(QueueDecision::Run(_, placement)) = self.verdicts.try_recv() {
             inner.pool.finish(now, &placement, StageOutcome::Cancelled);
         }
     }
@@ -123,12 +123,12 @@
                 let verdict = wait.verdicts.recv().await;
                 wait.done = verdict.is_ok();
                 // The sender is dropped only with the pool itself.
-                verdict.unwrap_or(HoldVerdict::Shed(wait.ticket, ResultCode::Draining))
+                verdict.unwrap_or(QueueDecision::Shed(wait.ticket, ResultCode::Draining))
             }
         };
         match verdict {
-            HoldVerdict::Run(_, placement) => Ok(self.guard(placement)),
-            HoldVerdict::Shed(_, code) => Err(PlaceRefusal {
+            QueueDecision::Run(_, placement) => Ok(self.guard(placement)),
+            QueueDecision::Shed(_, code) => Err(PlaceRefusal {
                 code,
                 retry_after: self.with(|now, pool| pool.expected_wait(now, u8::MAX)),
             }),
@@ -137,7 +137,7 @@
 
     /// Gets a target for a further try, at once or not at all.
     pub(crate) fn place_retry(self: &Arc<Self>, work: &StageWork) -> Option<PlaceGuard> {
-        let placement = self.with(|now, pool| pool.offer_retry(now, work))?;
+        let placement = self.with(|now, pool| pool.submit_retry(now, work))?;
         Some(self.guard(placement))
     }
 
@@ -149,13 +149,13 @@
     }
 
     /// Offers work: a verdict at once, or a wait.
-    fn offer(&self, work: StageWork) -> Result<HoldVerdict, WaitGuard<'_>> {
+    fn offer(&self, work: StageWork) -> Result<QueueDecision, WaitGuard<'_>> {
         let now = self.clock.now();
         let mut inner = self.lock();
-        match inner.pool.offer(now, work) {
-            PoolOffer::Run(placement) => Ok(HoldVerdict::Run(0, placement)),
-            PoolOffer::Refused { code, .. } => Ok(HoldVerdict::Shed(0, code)),
-            PoolOffer::Held(ticket) => {
+        match inner.pool.submit(now, work) {
+            SubmitResult::Run(placement) => Ok(QueueDecision::Run(0, placement)),
+            SubmitResult::Refused { code, .. } => Ok(QueueDecision::Shed(0, code)),
+            SubmitResult::Queued(ticket) => {
                 let (sender, verdicts) = async_channel::bounded(1);
                 inner.waiters.insert(ticket, sender);
                 inner.pump(now);
@@ -190,13 +190,13 @@
 
 impl PoolInner {
     fn pump(&mut self, now: Moment) {
-        for verdict in self.pool.pump(now) {
+        for verdict in self.pool.dispatch(now) {
             let ticket = match &verdict {
-                HoldVerdict::Run(ticket, _) | HoldVerdict::Shed(ticket, _) => *ticket,
+                QueueDecision::Run(ticket, _) | QueueDecision::Shed(ticket, _) => *ticket,
             };
             let waiter = self.waiters.remove(&ticket);
             let sent = waiter.is_some_and(|waiter| waiter.try_send(verdict.clone()).is_ok());
-            if let (false, HoldVerdict::Run(_, placement)) = (sent, &verdict) {
+            if let (false, QueueDecision::Run(_, placement)) = (sent, &verdict) {
                 self.pool.finish(now, placement, StageOutcome::Cancelled);
             }
         }
--- a/packages/turnford-node/src/stage.rs
+++ b/packages/turnford-node/src/stage.rs
@@ -92,7 +92,7 @@
     fn work(&self, pool: &StagePool) -> StageWork {
         let request = self.request;
         let length = stage_length(self.spec, self.input, request.parameters.max_tokens);
-        let expected = pool.with(|now, pool| pool.expected(now, length));
+        let expected = pool.with(|now, pool| pool.expected_time(now, length));
         let later = self.expected_later();
         let deadline = request.budget.deadline();
         let generates = self.spec.kind == CallKind::Generate;
@@ -102,10 +102,10 @@
             share: request.account.share,
             cost_weight: request.account.cost_weight,
             length,
-            expected,
+            expected_time: expected,
             latest_start: request.budget.latest_start(self.index),
             latest_end: request.budget.latest_end(self.index),
-            hopeless_after: deadline.saturating_sub(later + expected),
+            infeasible_after: deadline.saturating_sub(later + expected),
             model: self.spec.model.clone(),
             prefix: generates.then(|| prefix_hash(self.input)),
             tried: Vec::new(),
@@ -121,7 +121,7 @@
             let length = stage_length(stage, self.input, request.parameters.max_tokens);
             let pool = request.state.pool(&stage.service);
             sum += pool.map_or(Duration::ZERO, |pool| {
-                pool.with(|now, pool| pool.expected(now, length))
+                pool.with(|now, pool| pool.expected_time(now, length))
             });
         }
         sum
@@ -140,9 +140,9 @@
         if self.spec.kind == CallKind::Generate {
             return left;
         }
-        let patience = pool.with(|now, pool| pool.patience(now, work.length));
+        let patience = pool.with(|now, pool| pool.loss_timeout(now, work.length));
         let patience = patience.map(|patience| patience.max(LEAST_PATIENCE));
-        let fits = patience.filter(|patience| *patience + work.expected <= left);
+        let fits = patience.filter(|patience| *patience + work.expected_time <= left);
         fits.unwrap_or(left)
     }
 }
@@ -179,7 +179,7 @@
         let placement = place.placement().cloned();
         let fault = match result {
             Ok(answer) => {
-                place.finish(StageOutcome::Whole);
+                place.finish(StageOutcome::Completed);
                 let record = make_record(&run, placement, &answer, attempt, waited);
                 return Ok((answer.output, record));
             }
@@ -223,14 +223,14 @@
         return Err(TargetFault::NotSent);
     };
     let call = TargetCall {
-        attempt: run.request.trace.at(run.index as u8, attempt),
+        attempt: run.request.trace.with_attempt(run.index as u8, attempt),
         priority: run.request.account.class,
         input: run.input.to_owned(),
         max_tokens: run.max_tokens(),
         resume_from: run.received,
         limit: run.try_limit(pool, work),
     };
-    evidence.note_send();
+    evidence.record_send();
     let result = if run.spec.kind == CallKind::Generate {
         stream_once(run, address, &call).await
     } else {
@@ -240,7 +240,7 @@
         Ok(_) => AttemptEvidence::Ran,
         Err(fault) => fault.evidence(),
     };
-    evidence.note_end(known);
+    evidence.record_end(known);
     result
 }
 
@@ -314,7 +314,7 @@
     match fault {
         TargetFault::Full => StageOutcome::RefusedFull,
         TargetFault::Leaving => StageOutcome::Leaving,
-        TargetFault::Late => StageOutcome::GivenUp,
+        TargetFault::Late => StageOutcome::TimedOut,
         TargetFault::NotSent
         | TargetFault::Failed
         | TargetFault::Broken
--- a/packages/turnford-node/src/status.rs
+++ b/packages/turnford-node/src/status.rs
@@ -54,8 +54,8 @@
         .collect();
     json!({
         "slots": summary.slots,
-        "own": summary.own,
-        "held": summary.held,
+        "own": summary.inflight,
+        "held": summary.queued,
         "backlog_s": summary.backlog,
         "targets": targets,
     })
@@ -71,12 +71,12 @@
         "name": &*view.facts.id,
         "hardware": &*view.facts.hardware,
         "models": view.facts.models.iter().map(|model| &**model).collect::<Vec<&str>>(),
-        "own": view.own(),
+        "own": view.own_inflight(),
         "inflight": view.inflight(now),
         "report_age_ms": view.report_age(now).map(|age| age.as_millis() as u64),
         "leaving": view.leaving,
         "health": health,
-        "failure": view.health.failure(),
+        "failure": view.health.failure_rate(),
         "slowness": view.health.slowness(),
     })
 }
--- a/packages/turnford-policy/examples/sweep.rs
+++ b/packages/turnford-policy/examples/sweep.rs
@@ -17,17 +17,17 @@
 use turnford_policy::plan_admission;
 use turnford_policy::AdmissionPlan;
 use turnford_policy::DeadlineBudget;
-use turnford_policy::HoldVerdict;
 use turnford_policy::LoadReport;
 use turnford_policy::Moment;
-use turnford_policy::PoolOffer;
 use turnford_policy::PoolSettings;
 use turnford_policy::ProbeGate;
+use turnford_policy::QueueDecision;
 use turnford_policy::RoutingPolicy;
 use turnford_policy::ServicePool;
 use turnford_policy::StageOutcome;
 use turnford_policy::StagePlacement;
 use turnford_policy::StageWork;
+use turnford_policy::SubmitResult;
 use turnford_policy::TargetFacts;
 
 const NODES: usize = 8;
@@ -221,7 +221,7 @@
         let pools = &mut self.pools[node];
         let demands: Vec<_> = (0..SERVICES.len())
             .map(|service| {
-                pools[service].demand(now, class, stage_length(service, length), QUANTILE)
+                pools[service].stage_demand(now, class, stage_length(service, length), QUANTILE)
             })
             .collect();
         let budget = match plan_admission(now, deadline, &demands, Some(&mut self.probes[node])) {
@@ -237,8 +237,8 @@
         };
         let mut promised = Vec::new();
         for (service, pool) in pools.iter_mut().enumerate() {
-            let expected = pool.expected(now, stage_length(service, length));
-            pool.promise(class, expected);
+            let expected = pool.expected_time(now, stage_length(service, length));
+            pool.add_pending(class, expected);
             promised.push(expected);
         }
         let request = self.requests.len();
@@ -267,9 +267,11 @@
         let request = &self.requests[number];
         let length = stage_length(request.stage, request.length);
         let pools = &self.pools[request.node];
-        let expected = pools[request.stage].expected(self.now, length);
+        let expected = pools[request.stage].expected_time(self.now, length);
         let later: Duration = (request.stage + 1..SERVICES.len())
-            .map(|service| pools[service].expected(self.now, stage_length(service, request.length)))
+            .map(|service| {
+                pools[service].expected_time(self.now, stage_length(service, request.length))
+            })
             .sum();
         StageWork {
             account: Arc::from(format!("a{}", request.account)),
@@ -277,10 +279,10 @@
             share: 1.0,
             cost_weight: 0.1,
             length,
-            expected,
+            expected_time: expected,
             latest_start: request.budget.latest_start(request.stage),
             latest_end: request.budget.latest_end(request.stage),
-            hopeless_after: request.deadline.saturating_sub(later + expected),
+            infeasible_after: request.deadline.saturating_sub(later + expected),
             model: None,
             prefix: None,
             tried: request.tried.clone(),
@@ -293,26 +295,26 @@
         let (node, service, class) = (request.node, request.stage, request.class);
         let promised = std::mem::take(&mut request.promised[service]);
         let pool = &mut self.pools[node][service];
-        pool.settle(class, promised);
-        match pool.offer(self.now, work) {
-            PoolOffer::Run(placement) => self.send(number, placement),
-            PoolOffer::Held(ticket) => {
+        pool.remove_pending(class, promised);
+        match pool.submit(self.now, work) {
+            SubmitResult::Run(placement) => self.send(number, placement),
+            SubmitResult::Queued(ticket) => {
                 self.held.insert((node, service, ticket), number);
                 self.pump(node, service);
             }
-            PoolOffer::Refused { .. } => self.end(number, false),
+            SubmitResult::Refused { .. } => self.end(number, false),
         }
     }
 
     fn pump(&mut self, node: usize, service: usize) {
-        for verdict in self.pools[node][service].pump(self.now) {
+        for verdict in self.pools[node][service].dispatch(self.now) {
             match verdict {
-                HoldVerdict::Run(ticket, placement) => {
+                QueueDecision::Run(ticket, placement) => {
                     if let Some(number) = self.held.remove(&(node, service, ticket)) {
                         self.send(number, placement);
                     }
                 }
-                HoldVerdict::Shed(ticket, _) => {
+                QueueDecision::Shed(ticket, _) => {
                     if let Some(number) = self.held.remove(&(node, service, ticket)) {
                         self.end(number, false);
                     }
@@ -404,11 +406,11 @@
             return;
         }
         if self.now >= self.requests[number].deadline {
-            self.give_back(number, StageOutcome::GivenUp);
+            self.give_back(number, StageOutcome::TimedOut);
             self.end(number, false);
             return;
         }
-        self.give_back(number, StageOutcome::Whole);
+        self.give_back(number, StageOutcome::Completed);
         let request = &mut self.requests[number];
         request.stage += 1;
         request.tries = 0;
@@ -431,7 +433,7 @@
         }
         let work = self.work(number);
         let (node, service) = (self.requests[number].node, self.requests[number].stage);
-        match self.pools[node][service].offer_retry(self.now, &work) {
+        match self.pools[node][service].submit_retry(self.now, &work) {
             Some(placement) => self.send(number, placement),
             None if outcome == StageOutcome::RefusedFull => self.offer(number),
             None => self.end(number, false),
@@ -454,7 +456,7 @@
         let (node, class) = (request.node, request.class);
         let promised = std::mem::take(&mut request.promised);
         for (service, expected) in promised.into_iter().enumerate() {
-            self.pools[node][service].settle(class, expected);
+            self.pools[node][service].remove_pending(class, expected);
         }
         let request = &self.requests[number];
         let started = request.deadline - DEADLINE;
@@ -511,13 +513,13 @@
                     pools[service]
                         .views()
                         .iter()
-                        .map(|view| view.own())
+                        .map(|view| view.own_inflight())
                         .collect()
                 })
                 .collect();
             for (node, pools) in self.pools.iter_mut().enumerate() {
                 let pool = &mut pools[service];
-                pool.apply_peers(total - backlog[node], 1.0 / NODES as f64);
+                pool.apply_peer_backlog(total - backlog[node], 1.0 / NODES as f64);
                 let names: Vec<_> = pool
                     .views()
                     .iter()
@@ -607,7 +609,7 @@
     let make = |(service, targets): (usize, &Vec<Target>)| {
         let mut settings = PoolSettings {
             policy: variant.policy,
-            holds: variant.holds,
+            queues_work: variant.holds,
             seed: seed * 1000 + (node * 10 + service) as u64,
             ..PoolSettings::default()
         };
@@ -620,11 +622,11 @@
             hardware: Arc::from(if target.slowness > 1.0 { "old" } else { "new" }),
             slots: target.slots,
             cost: target.cost,
-            distance: Duration::from_micros(if target.hall == node % 4 { 100 } else { 600 }),
+            one_way_delay: Duration::from_micros(if target.hall == node % 4 { 100 } else { 600 }),
             models: Vec::new(),
         });
         pool.apply_list(facts.collect());
-        pool.apply_peers(0.0, 1.0 / NODES as f64);
+        pool.apply_peer_backlog(0.0, 1.0 / NODES as f64);
         pool
     };
     targets.iter().enumerate().map(make).collect()
--- a/packages/turnford-policy/src/admission.rs
+++ b/packages/turnford-policy/src/admission.rs
@@ -17,7 +17,7 @@
     /// Wait before the stage starts: work held, promised by admitted requests, or over the slots.
     pub wait: Duration,
     /// Mean of the stage's own time.
-    pub expected: Duration,
+    pub expected_time: Duration,
     /// Quantile of the stage's own time that the template names.
     pub reserve: Duration,
 }
@@ -72,9 +72,12 @@
     let mut squares = 0.0;
     let mut own = Duration::ZERO;
     for stage in stages {
-        finish = finish.max(stage.wait) + stage.expected;
-        own += stage.expected;
-        let distance = stage.reserve.saturating_sub(stage.expected).as_secs_f64();
+        finish = finish.max(stage.wait) + stage.expected_time;
+        own += stage.expected_time;
+        let distance = stage
+            .reserve
+            .saturating_sub(stage.expected_time)
+            .as_secs_f64();
         squares += distance * distance;
     }
     let spread = Duration::from_secs_f64(squares.sqrt());
--- a/packages/turnford-policy/src/attempt.rs
+++ b/packages/turnford-policy/src/attempt.rs
@@ -54,7 +54,7 @@
 
 impl AttemptId {
     /// Returns the id of a try of a stage of the same request.
-    pub fn at(self, stage: u8, attempt: u8) -> Self {
+    pub fn with_attempt(self, stage: u8, attempt: u8) -> Self {
         Self {
             stage,
             attempt,
@@ -77,20 +77,20 @@
 
 /// A text that is no attempt id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttemptTextError;
+pub struct ParseAttemptError;
 
 impl FromStr for AttemptId {
-    type Err = AttemptTextError;
+    type Err = ParseAttemptError;
 
-    fn from_str(text: &str) -> Result<Self, AttemptTextError> {
+    fn from_str(text: &str) -> Result<Self, ParseAttemptError> {
         let mut parts = text.split('-');
-        let mut part = || parts.next().ok_or(AttemptTextError);
-        let incarnation = u64::from_str_radix(part()?, 16).map_err(|_| AttemptTextError)?;
-        let sequence = part()?.parse().map_err(|_| AttemptTextError)?;
-        let stage = part()?.parse().map_err(|_| AttemptTextError)?;
-        let attempt = part()?.parse().map_err(|_| AttemptTextError)?;
+        let mut part = || parts.next().ok_or(ParseAttemptError);
+        let incarnation = u64::from_str_radix(part()?, 16).map_err(|_| ParseAttemptError)?;
+        let sequence = part()?.parse().map_err(|_| ParseAttemptError)?;
+        let stage = part()?.parse().map_err(|_| ParseAttemptError)?;
+        let attempt = part()?.parse().map_err(|_| ParseAttemptError)?;
         if parts.next().is_some() {
-            return Err(AttemptTextError);
+            return Err(ParseAttemptError);
         }
         Ok(Self {
             incarnation,
--- a/packages/turnford-policy/src/clock.rs
+++ b/packages/turnford-policy/src/clock.rs
@@ -67,7 +67,7 @@
 }
 
 /// Returns the time for which the machine ran.
-pub fn steady_time() -> Moment {
+pub fn monotonic_time() -> Moment {
     to_moment(clock_gettime(ClockId::Monotonic))
 }
 
@@ -83,12 +83,12 @@
 
 /// Finds out that the machine was suspended, from a clock that counts that time and one that doesn't.
 #[derive(Debug)]
-pub struct SleepWatch {
+pub struct SuspendDetector {
     /// What the one was before the other at the last look.
     ahead: Duration,
 }
 
-impl SleepWatch {
+impl SuspendDetector {
     /// Makes a watch from both clocks' times now.
     pub fn new(boot: Moment, steady: Moment) -> Self {
         Self {
@@ -97,7 +97,7 @@
     }
 
     /// Returns for how long the machine was suspended since the last look, `None` if it was not.
-    pub fn look(&mut self, boot: Moment, steady: Moment) -> Option<Duration> {
+    pub fn check(&mut self, boot: Moment, steady: Moment) -> Option<Duration> {
         let ahead = boot.saturating_sub(steady);
         let slept = ahead.saturating_sub(std::mem::replace(&mut self.ahead, ahead));
         (slept >= SHORTEST_SLEEP).then_some(slept)
--- a/packages/turnford-policy/src/code.rs
+++ b/packages/turnford-policy/src/code.rs
@@ -165,7 +165,7 @@
     }
 
     /// Tells whether the answer is whole.
-    pub fn is_whole(self) -> bool {
+    pub fn is_complete(self) -> bool {
         self.number() < 100
     }
 }
--- a/packages/turnford-policy/src/estimate.rs
+++ b/packages/turnford-policy/src/estimate.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::AgedHistogram;
+use crate::DecayingHistogram;
 use crate::Moment;
 
 /// Half-life of what was learned. A burst must show within seconds, a lull must not erase all.
@@ -31,9 +31,9 @@
 /// Stage times of one service.
 #[derive(Debug)]
 pub struct StageEstimates {
-    by_hardware: HashMap<Arc<str>, HashMap<u8, AgedHistogram>>,
-    by_length: HashMap<u8, AgedHistogram>,
-    all: AgedHistogram,
+    by_hardware: HashMap<Arc<str>, HashMap<u8, DecayingHistogram>>,
+    by_length: HashMap<u8, DecayingHistogram>,
+    all: DecayingHistogram,
     /// Mean that peers have learned, for a node that has learned nothing yet.
     prior: Option<Duration>,
 }
@@ -44,7 +44,7 @@
         Self {
             by_hardware: HashMap::new(),
             by_length: HashMap::new(),
-            all: AgedHistogram::new(HALF_LIFE),
+            all: DecayingHistogram::new(HALF_LIFE),
             prior: None,
         }
     }
@@ -62,7 +62,7 @@
     /// Learns one whole stage time on a hardware class.
     pub fn record(&mut self, now: Moment, hardware: &Arc<str>, length: u32, time: Duration) {
         let bucket = length_bucket(length);
-        let fresh = || AgedHistogram::new(HALF_LIFE);
+        let fresh = || DecayingHistogram::new(HALF_LIFE);
         let own = self.by_hardware.entry(hardware.clone()).or_default();
         own.entry(bucket).or_insert_with(fresh).record(now, time);
         self.by_length
@@ -77,13 +77,15 @@
         let own = self.by_hardware.get(hardware);
         let own = own.and_then(|lengths| lengths.get(&length_bucket(length)));
         let trusted = own.filter(|found| found.weight(now) >= TRUSTED_WEIGHT);
-        let mean = trusted.and_then(AgedHistogram::mean);
+        let mean = trusted.and_then(DecayingHistogram::mean);
         mean.unwrap_or_else(|| self.mean_of_length(now, length))
     }
 
     /// Returns the mean time over all hardware for an input length.
     pub fn mean_of_length(&self, now: Moment, length: u32) -> Duration {
-        let found = self.any_hardware(now, length).and_then(AgedHistogram::mean);
+        let found = self
+            .any_hardware(now, length)
+            .and_then(DecayingHistogram::mean);
         found.or(self.prior).unwrap_or(UNKNOWN_TIME)
     }
 
@@ -95,7 +97,7 @@
     }
 
     /// Returns how long a call may take before it looks lost; `None` before enough was learned.
-    pub fn patience(&self, now: Moment, length: u32) -> Option<Duration> {
+    pub fn loss_timeout(&self, now: Moment, length: u32) -> Option<Duration> {
         let own = self.by_length.get(&length_bucket(length))?;
         if own.weight(now) < PATIENCE_WEIGHT {
             return None;
@@ -104,7 +106,7 @@
             .map(|time| time * PATIENCE_FACTOR)
     }
 
-    fn any_hardware(&self, now: Moment, length: u32) -> Option<&AgedHistogram> {
+    fn any_hardware(&self, now: Moment, length: u32) -> Option<&DecayingHistogram> {
         let own = self.by_length.get(&length_bucket(length));
         let trusted = own.filter(|found| found.weight(now) >= TRUSTED_WEIGHT);
         let whole = Some(&self.all).filter(|found| found.weight(now) >= LEAST_WEIGHT);
--- a/packages/turnford-policy/src/evidence.rs
+++ b/packages/turnford-policy/src/evidence.rs
@@ -17,7 +17,7 @@
 
 /// The word that a caller gets about whether anything ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RanWord {
+pub enum RanStatus {
     /// Nothing ran, and nothing is billed.
     No,
     /// Something ran.
@@ -26,20 +26,20 @@
     Unknown,
 }
 
-impl RanWord {
+impl RanStatus {
     /// Returns the word as the interface spells it.
     pub fn as_str(self) -> &'static str {
         match self {
-            RanWord::No => "no",
-            RanWord::Yes => "yes",
-            RanWord::Unknown => "unknown",
+            RanStatus::No => "no",
+            RanStatus::Yes => "yes",
+            RanStatus::Unknown => "unknown",
         }
     }
 }
 
 /// What a claim says of an earlier request with the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClaimKnowledge {
+pub enum ClaimEvidence {
     /// It ran.
     Ran,
     /// It may have run or be running.
@@ -56,11 +56,11 @@
 
 impl RequestEvidence {
     /// Returns the evidence of a request that was not started because its id was used before.
-    pub fn from_claim(knowledge: ClaimKnowledge) -> Self {
+    pub fn from_claim(knowledge: ClaimEvidence) -> Self {
         Self {
             open: 0,
-            ran: knowledge == ClaimKnowledge::Ran,
-            unknown: knowledge == ClaimKnowledge::MayHaveRun,
+            ran: knowledge == ClaimEvidence::Ran,
+            unknown: knowledge == ClaimEvidence::MayHaveRun,
         }
     }
 
@@ -68,12 +68,12 @@
     ///
     /// It is called before the first byte is written, so that a request that is cut off in between
     /// counts as sent.
-    pub fn note_send(&mut self) {
+    pub fn record_send(&mut self) {
         self.open += 1;
     }
 
-    /// Notes how an attempt ended, after [`RequestEvidence::note_send`].
-    pub fn note_end(&mut self, evidence: AttemptEvidence) {
+    /// Notes how an attempt ended, after [`RequestEvidence::record_send`].
+    pub fn record_end(&mut self, evidence: AttemptEvidence) {
         debug_assert!(self.open > 0, "an attempt ended that was never sent");
         self.open = self.open.saturating_sub(1);
         match evidence {
@@ -84,13 +84,13 @@
     }
 
     /// Returns the caller's word. An attempt still open counts as unknown.
-    pub fn ran(&self) -> RanWord {
+    pub fn ran(&self) -> RanStatus {
         if self.ran {
-            RanWord::Yes
+            RanStatus::Yes
         } else if self.unknown || self.open > 0 {
-            RanWord::Unknown
+            RanStatus::Unknown
         } else {
-            RanWord::No
+            RanStatus::No
         }
     }
 }
--- a/packages/turnford-policy/src/health.rs
+++ b/packages/turnford-policy/src/health.rs
@@ -27,25 +27,25 @@
 #[derive(Clone, Debug)]
 pub struct HealthSettings {
     /// Part of failed calls over which a target is bad, if its peers are not like it.
-    pub bad_failure: f64,
+    pub failure_threshold: f64,
     /// How far its failures must be above the median of its peers.
-    pub failure_gap: f64,
+    pub failure_margin: f64,
     /// Factor over its peers' median time at which a target is bad.
-    pub bad_slowness: f64,
+    pub slowness_threshold: f64,
     /// Largest part of a pool that may be out at a time.
-    pub ejected_part: f64,
+    pub max_ejected_ratio: f64,
     /// First time out; it doubles with each further one.
-    pub first_ejection: Duration,
+    pub base_ejection: Duration,
 }
 
 impl Default for HealthSettings {
     fn default() -> Self {
         Self {
-            bad_failure: 0.5,
-            failure_gap: 0.3,
-            bad_slowness: 4.0,
-            ejected_part: 0.34,
-            first_ejection: Duration::from_secs(5),
+            failure_threshold: 0.5,
+            failure_margin: 0.3,
+            slowness_threshold: 4.0,
+            max_ejected_ratio: 0.34,
+            base_ejection: Duration::from_secs(5),
         }
     }
 }
@@ -86,7 +86,7 @@
 
 impl TargetHealth {
     /// Returns the recent part of failed calls.
-    pub fn failure(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         self.failure
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Notes a whole answer and its time over the class's mean.
-    pub fn note_success(&mut self, ratio: f64) {
+    pub fn record_success(&mut self, ratio: f64) {
         self.note_sample(0.0);
         let ratio = ratio.clamp(0.05, 50.0);
         self.slowness += SAMPLE_WEIGHT * (ratio - self.slowness);
@@ -106,12 +106,12 @@
     }
 
     /// Notes a failure. Its time says nothing: fast failures must not look like speed.
-    pub fn note_failure(&mut self) {
+    pub fn record_failure(&mut self) {
         self.note_sample(1.0);
     }
 
     /// Notes a call given up after a wait that was already `ratio` times the class's mean.
-    pub fn note_given_up(&mut self, ratio: f64) {
+    pub fn record_timeout(&mut self, ratio: f64) {
         if ratio > self.slowness {
             self.samples = self.samples.saturating_add(1);
             self.slowness += SAMPLE_WEIGHT * (ratio.clamp(0.05, 50.0) - self.slowness);
@@ -120,33 +120,39 @@
 
     /// Tells whether the target may be bad whatever its peers are like; the comparison with them is
     /// made only then.
-    pub fn is_suspect(&self, settings: &HealthSettings) -> bool {
+    pub fn may_be_outlier(&self, settings: &HealthSettings) -> bool {
         let probed = matches!(self.state, HealthState::Probation(_));
-        let slow = self.slowness > settings.bad_slowness * LEAST_MEDIAN;
-        probed || self.failure > settings.bad_failure || slow
+        let slow = self.slowness > settings.slowness_threshold * LEAST_MEDIAN;
+        probed || self.failure > settings.failure_threshold || slow
     }
 
     /// Tells whether the target is bad next to the medians of its peers.
-    pub fn is_bad(&self, settings: &HealthSettings, median_failure: f64, median_slow: f64) -> bool {
+    pub fn is_outlier(
+        &self,
+        settings: &HealthSettings,
+        median_failure: f64,
+        median_slow: f64,
+    ) -> bool {
         if self.samples < JUDGED_SAMPLES {
             return false;
         }
-        let fails = self.failure > settings.bad_failure;
-        let fails_alone = self.failure > median_failure + settings.failure_gap;
-        let slow_alone = self.slowness > settings.bad_slowness * median_slow.max(LEAST_MEDIAN);
+        let fails = self.failure > settings.failure_threshold;
+        let fails_alone = self.failure > median_failure + settings.failure_margin;
+        let slow_alone =
+            self.slowness > settings.slowness_threshold * median_slow.max(LEAST_MEDIAN);
         (fails && fails_alone) || slow_alone
     }
 
     /// Takes the target out.
     pub fn eject(&mut self, now: Moment, settings: &HealthSettings) {
         let factor = 2_u32.saturating_pow(self.strikes.min(8));
-        let span = (settings.first_ejection * factor).min(LONGEST_EJECTION);
+        let span = (settings.base_ejection * factor).min(LONGEST_EJECTION);
         self.state = HealthState::Ejected(now + span);
         self.strikes = self.strikes.saturating_add(1);
     }
 
     /// Moves an ejection that is over into probation.
-    pub fn refresh(&mut self, now: Moment) {
+    pub fn expire_ejection(&mut self, now: Moment) {
         if matches!(self.state, HealthState::Ejected(until) if now >= until) {
             self.state = HealthState::Probation(0);
             self.failure = 0.0;
@@ -172,7 +178,7 @@
     /// Tells whether a failure just now ends a probation.
     pub fn fails_probation(&self, settings: &HealthSettings) -> bool {
         let probed = matches!(self.state, HealthState::Probation(_));
-        probed && (self.failure > 0.0 || self.slowness > settings.bad_slowness / 2.0)
+        probed && (self.failure > 0.0 || self.slowness > settings.slowness_threshold / 2.0)
     }
 
     fn note_sample(&mut self, failed: f64) {
--- a/packages/turnford-policy/src/histogram.rs
+++ b/packages/turnford-policy/src/histogram.rs
@@ -18,7 +18,7 @@
 /// All counts are halved once every half-life. Samples are put into logarithmic buckets, so a
 /// quantile is exact to about 19%.
 #[derive(Clone, Debug)]
-pub struct AgedHistogram {
+pub struct DecayingHistogram {
     counts: [f32; BUCKET_COUNT],
     total: f32,
     sum: f64,
@@ -26,7 +26,7 @@
     halved_at: Moment,
 }
 
-impl AgedHistogram {
+impl DecayingHistogram {
     /// Makes an empty histogram whose counts halve every `half_life`.
     pub fn new(half_life: Duration) -> Self {
         Self {
--- a/packages/turnford-policy/src/hold.rs
+++ b/packages/turnford-policy/src/hold.rs
@@ -7,25 +7,25 @@
 
 use crate::AccountId;
 use crate::ClassRank;
-use crate::HoldTicket;
 use crate::Moment;
+use crate::QueueTicket;
 use crate::StageWork;
 
 /// One held piece of work.
 #[derive(Clone, Debug)]
-pub struct HeldWork {
+pub struct QueuedWork {
     /// Its number in the pool.
-    pub ticket: HoldTicket,
+    pub ticket: QueueTicket,
     /// The work itself.
     pub work: StageWork,
     /// When it was held.
-    pub since: Moment,
+    pub queued_at: Moment,
 }
 
 /// Work of one account inside a class, least slack first.
 #[derive(Debug, Default)]
 struct AccountLine {
-    by_slack: BTreeSet<(Moment, HoldTicket)>,
+    by_slack: BTreeSet<(Moment, QueueTicket)>,
 }
 
 /// Lines of one class and what each account was served.
@@ -39,14 +39,14 @@
 
 /// A bounded queue of held work.
 #[derive(Debug)]
-pub struct HoldQueue {
+pub struct WorkQueue {
     limit: usize,
-    held: HashMap<HoldTicket, HeldWork>,
+    held: HashMap<QueueTicket, QueuedWork>,
     classes: BTreeMap<ClassRank, ClassLines>,
-    next_ticket: HoldTicket,
+    next_ticket: QueueTicket,
 }
 
-impl HoldQueue {
+impl WorkQueue {
     /// Makes an empty queue that holds at most `limit` pieces of work.
     pub fn new(limit: usize) -> Self {
         Self {
@@ -68,13 +68,13 @@
     }
 
     /// Returns the expected time of all held work that goes before or beside a class.
-    pub fn held_time(&self, class: ClassRank) -> Duration {
+    pub fn queued_time(&self, class: ClassRank) -> Duration {
         let before = self.classes.range(..=class);
         before.map(|(_, lines)| lines.held_time).sum()
     }
 
     /// Holds a piece of work; `None` if the queue is full of work of the same or a higher class.
-    pub fn push(&mut self, now: Moment, work: StageWork) -> Option<HoldTicket> {
+    pub fn push(&mut self, now: Moment, work: StageWork) -> Option<QueueTicket> {
         if self.held.len() >= self.limit && !self.has_lower(work.class) {
             return None;
         }
@@ -83,17 +83,17 @@
         let lines = self.classes.entry(work.class).or_default();
         lines.add(ticket, &work);
         let since = now;
-        let held = HeldWork {
+        let held = QueuedWork {
             ticket,
             work,
-            since,
+            queued_at: since,
         };
         self.held.insert(ticket, held);
         Some(ticket)
     }
 
     /// Takes out what the queue holds over its bound, lowest class and most slack first.
-    pub fn pop_excess(&mut self) -> Option<HeldWork> {
+    pub fn pop_excess(&mut self) -> Option<QueuedWork> {
         if self.held.len() <= self.limit {
             return None;
         }
@@ -104,24 +104,24 @@
     }
 
     /// Returns the piece that goes next without taking it.
-    pub fn first(&self) -> Option<&HeldWork> {
+    pub fn first(&self) -> Option<&QueuedWork> {
         let tickets = self.classes.values().find_map(ClassLines::first_ticket);
         tickets.and_then(|ticket| self.held.get(&ticket))
     }
 
     /// Returns up to `count` pieces in the order in which they would go, by class and slack.
-    pub fn heads(&self, count: usize) -> Vec<HoldTicket> {
+    pub fn candidates(&self, count: usize) -> Vec<QueueTicket> {
         let classes = self.classes.values();
         classes.flat_map(ClassLines::heads).take(count).collect()
     }
 
     /// Returns a held piece.
-    pub fn get(&self, ticket: HoldTicket) -> Option<&HeldWork> {
+    pub fn get(&self, ticket: QueueTicket) -> Option<&QueuedWork> {
         self.held.get(&ticket)
     }
 
     /// Takes a piece out and counts it as served to its account.
-    pub fn serve(&mut self, ticket: HoldTicket) -> Option<HeldWork> {
+    pub fn serve(&mut self, ticket: QueueTicket) -> Option<QueuedWork> {
         let held = self.remove(ticket)?;
         if let Some(lines) = self.classes.get_mut(&held.work.class) {
             lines.note_served(&held.work);
@@ -131,7 +131,7 @@
     }
 
     /// Takes a piece out without serving it.
-    pub fn remove(&mut self, ticket: HoldTicket) -> Option<HeldWork> {
+    pub fn remove(&mut self, ticket: QueueTicket) -> Option<QueuedWork> {
         let held = self.held.remove(&ticket)?;
         if let Some(lines) = self.classes.get_mut(&held.work.class) {
             lines.take(ticket, &held.work);
@@ -140,12 +140,12 @@
     }
 
     /// Returns the tickets of work that can no longer finish in time.
-    pub fn hopeless(&self, now: Moment) -> Vec<HoldTicket> {
+    pub fn infeasible(&self, now: Moment) -> Vec<QueueTicket> {
         let late = self
             .held
             .values()
-            .filter(|held| now > held.work.hopeless_after);
-        let mut tickets: Vec<HoldTicket> = late.map(|held| held.ticket).collect();
+            .filter(|held| now > held.work.infeasible_after);
+        let mut tickets: Vec<QueueTicket> = late.map(|held| held.ticket).collect();
         tickets.sort_unstable();
         tickets
     }
@@ -164,18 +164,18 @@
 }
 
 impl ClassLines {
-    fn add(&mut self, ticket: HoldTicket, work: &StageWork) {
+    fn add(&mut self, ticket: QueueTicket, work: &StageWork) {
         let floor = self.floor;
         let served = self.served.entry(work.account.clone()).or_default();
         // An account that was away does not return with a claim on the past.
         *served = (*served).max(floor);
         let line = self.lines.entry(work.account.clone()).or_default();
         line.by_slack.insert((work.latest_start, ticket));
-        self.held_time += work.expected;
+        self.held_time += work.expected_time;
     }
 
-    fn take(&mut self, ticket: HoldTicket, work: &StageWork) {
-        self.held_time = self.held_time.saturating_sub(work.expected);
+    fn take(&mut self, ticket: QueueTicket, work: &StageWork) {
+        self.held_time = self.held_time.saturating_sub(work.expected_time);
         let Some(line) = self.lines.get_mut(&work.account) else {
             return;
         };
@@ -188,10 +188,10 @@
     fn note_served(&mut self, work: &StageWork) {
         let served = self.served.entry(work.account.clone()).or_default();
         self.floor = self.floor.max(*served);
-        *served += work.expected.div_f64(work.share.max(0.01));
+        *served += work.expected_time.div_f64(work.share.max(0.01));
     }
 
-    fn first_ticket(&self) -> Option<HoldTicket> {
+    fn first_ticket(&self) -> Option<QueueTicket> {
         let lines = self.lines.iter();
         let least = lines.min_by_key(|(account, line)| {
             let served = self.served.get(*account).copied().unwrap_or_default();
@@ -202,7 +202,7 @@
             .map(|(_, ticket)| *ticket)
     }
 
-    fn last_ticket(&self) -> Option<HoldTicket> {
+    fn last_ticket(&self) -> Option<QueueTicket> {
         let lines = self.lines.values();
         lines
             .filter_map(|line| line.by_slack.last())
@@ -210,7 +210,7 @@
             .map(|(_, ticket)| *ticket)
     }
 
-    fn heads(&self) -> Vec<HoldTicket> {
+    fn heads(&self) -> Vec<QueueTicket> {
         let lines = self.lines.values();
         let mut heads: Vec<_> = lines
             .flat_map(|line| line.by_slack.iter().take(4))
--- a/packages/turnford-policy/src/pool.rs
+++ b/packages/turnford-policy/src/pool.rs
@@ -14,15 +14,13 @@
 use crate::routing::RoutingInput;
 use crate::view_table::ViewTable;
 use crate::ClassRank;
-use crate::HoldQueue;
-use crate::HoldTicket;
-use crate::HoldVerdict;
 use crate::LoadReport;
 use crate::Moment;
-use crate::PoolOffer;
 use crate::PoolSettings;
 use crate::PoolSummary;
 use crate::PrefixHash;
+use crate::QueueDecision;
+use crate::QueueTicket;
 use crate::ResultCode;
 use crate::RetryBudget;
 use crate::RoutingPolicy;
@@ -31,8 +29,10 @@
 use crate::StageOutcome;
 use crate::StagePlacement;
 use crate::StageWork;
+use crate::SubmitResult;
 use crate::TargetFacts;
 use crate::TargetView;
+use crate::WorkQueue;
 
 /// Pieces of held work that one round looks at beyond the first, when the first needs a model that
 /// no free target has.
@@ -49,7 +49,7 @@
 pub struct ServicePool {
     settings: PoolSettings,
     views: ViewTable,
-    queue: HoldQueue,
+    queue: WorkQueue,
     estimates: StageEstimates,
     retries: RetryBudget,
     promised: [f64; CLASS_COUNT],
@@ -67,7 +67,7 @@
 impl ServicePool {
     /// Makes a pool without targets.
     pub fn new(settings: PoolSettings) -> Self {
-        let queue = HoldQueue::new(settings.hold_limit);
+        let queue = WorkQueue::new(settings.queue_limit);
         let rng = SmallRng::seed_from_u64(settings.seed);
         Self {
             settings,
@@ -102,7 +102,7 @@
     /// Takes the sum of what peers have in flight at a target.
     pub fn apply_peer_load(&mut self, now: Moment, target: &str, inflight: u32) {
         if let Some(view) = self.views.get_mut(target) {
-            view.apply_peers(now, inflight);
+            view.apply_peer_load(now, inflight);
         }
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Takes the expected seconds of work that peers hold for this service, and this node's part.
-    pub fn apply_peers(&mut self, backlog: f64, node_share: f64) {
+    pub fn apply_peer_backlog(&mut self, backlog: f64, node_share: f64) {
         self.peer_backlog = backlog.max(0.0);
         self.node_share = node_share.clamp(0.0, 1.0);
     }
@@ -121,36 +121,36 @@
     pub fn mark_leaving(&mut self, now: Moment, target: &str) -> bool {
         self.views
             .get_mut(target)
-            .is_some_and(|view| view.note_leaving(now))
+            .is_some_and(|view| view.record_leaving(now))
     }
 
     /// Takes the VM list's word on whether a target leaves; true if that is new.
-    pub fn mark_listed(&mut self, now: Moment, target: &str, leaving: bool) -> bool {
+    pub fn apply_listed_leaving(&mut self, now: Moment, target: &str, leaving: bool) -> bool {
         let Some(view) = self.views.get_mut(target) else {
             return false;
         };
         view.listed_leaving = leaving;
-        leaving && view.note_leaving(now)
+        leaving && view.record_leaving(now)
     }
 
     /// Takes a target's own word that it does not leave; true if it takes work again.
-    pub fn mark_staying(&mut self, target: &str, taken_at: Moment) -> bool {
+    pub fn mark_active(&mut self, target: &str, taken_at: Moment) -> bool {
         self.views
             .get_mut(target)
-            .is_some_and(|view| view.note_staying(taken_at))
+            .is_some_and(|view| view.record_active(taken_at))
     }
 
     /// Takes a cache event of an engine.
-    pub fn note_prefix(&mut self, target: &str, prefix: PrefixHash, present: bool) {
+    pub fn apply_cache_event(&mut self, target: &str, prefix: PrefixHash, present: bool) {
         let Some(view) = self.views.get_mut(target) else {
             return;
         };
         if present {
-            view.note_prefix(prefix);
+            view.record_prefix(prefix);
             let target = view.facts.id.clone();
             self.prefixes.note(prefix, &target);
         } else {
-            view.drop_prefix(prefix);
+            view.remove_prefix(prefix);
         }
     }
 
@@ -176,17 +176,23 @@
     }
 
     /// Forgets what an engine was thought to hold, after a gap in its events.
-    pub fn note_prefix_gap(&mut self, target: &str) {
+    pub fn clear_prefixes(&mut self, target: &str) {
         if let Some(view) = self.views.get_mut(target) {
             view.clear_prefixes();
         }
     }
 
     /// Returns what a new request would meet at this service.
-    pub fn demand(&self, now: Moment, class: ClassRank, length: u32, quantile: f64) -> StageDemand {
+    pub fn stage_demand(
+        &self,
+        now: Moment,
+        class: ClassRank,
+        length: u32,
+        quantile: f64,
+    ) -> StageDemand {
         StageDemand {
             wait: self.expected_wait(now, class),
-            expected: self.expected(now, length),
+            expected_time: self.expected_time(now, length),
             reserve: self.estimates.quantile(now, length, quantile),
         }
     }
@@ -195,7 +201,7 @@
     ///
     /// Before anything was measured, the age of the oldest call that still runs is a lower bound, so
     /// that a cold pool does not take slow work for fast until the first answers come.
-    pub fn expected(&self, now: Moment, length: u32) -> Duration {
+    pub fn expected_time(&self, now: Moment, length: u32) -> Duration {
         let mean = self.estimates.mean_of_length(now, length);
         if !self.estimates.is_cold(now) {
             return mean;
@@ -206,42 +212,42 @@
     }
 
     /// Returns how long a call may take before it looks lost; `None` before enough was learned.
-    pub fn patience(&self, now: Moment, length: u32) -> Option<Duration> {
-        self.estimates.patience(now, length)
+    pub fn loss_timeout(&self, now: Moment, length: u32) -> Option<Duration> {
+        self.estimates.loss_timeout(now, length)
     }
 
     /// Notes that an admitted request will come to this service later.
-    pub fn promise(&mut self, class: ClassRank, expected: Duration) {
+    pub fn add_pending(&mut self, class: ClassRank, expected: Duration) {
         self.promised[class_index(class)] += expected.as_secs_f64();
     }
 
     /// Takes a promise back when its stage is offered or the request ended before.
-    pub fn settle(&mut self, class: ClassRank, expected: Duration) {
+    pub fn remove_pending(&mut self, class: ClassRank, expected: Duration) {
         let promised = &mut self.promised[class_index(class)];
         *promised = (*promised - expected.as_secs_f64()).max(0.0);
     }
 
     /// Offers a piece of work.
-    pub fn offer(&mut self, now: Moment, work: StageWork) -> PoolOffer {
+    pub fn submit(&mut self, now: Moment, work: StageWork) -> SubmitResult {
         self.views.refresh_health(now);
         if let Some(model) = &work.model {
-            self.demand.note(now, model, work.expected);
+            self.demand.note(now, model, work.expected_time);
         }
         if !self.has_usable(now, &work) {
             let code = ResultCode::NoTarget;
             let retry_after = Duration::from_secs(1);
-            return PoolOffer::Refused { code, retry_after };
+            return SubmitResult::Refused { code, retry_after };
         }
-        self.retries.note_primary();
-        if self.queue.is_empty() || !self.settings.holds {
+        self.retries.record_first_attempt();
+        if self.queue.is_empty() || !self.settings.queues_work {
             if let Some(placement) = self.place(now, &work) {
-                return PoolOffer::Run(placement);
+                return SubmitResult::Run(placement);
             }
         }
         let class = work.class;
         match self.queue.push(now, work) {
-            Some(ticket) => PoolOffer::Held(ticket),
-            None => PoolOffer::Refused {
+            Some(ticket) => SubmitResult::Queued(ticket),
+            None => SubmitResult::Refused {
                 code: ResultCode::QueueFull,
                 retry_after: self.expected_wait(now, class).max(SMALLEST_HINT),
             },
@@ -249,46 +255,46 @@
     }
 
     /// Offers a further try of work that failed, if the budget allows it.
-    pub fn offer_retry(&mut self, now: Moment, work: &StageWork) -> Option<StagePlacement> {
-        let in_time = now + work.expected <= work.latest_end.max(work.hopeless_after);
+    pub fn submit_retry(&mut self, now: Moment, work: &StageWork) -> Option<StagePlacement> {
+        let in_time = now + work.expected_time <= work.latest_end.max(work.infeasible_after);
         // Under overload a retry takes the place of work that was not tried yet.
         if !in_time || !self.queue.is_empty() || !self.has_free(now, work) {
             return None;
         }
-        if !self.retries.take() {
+        if !self.retries.try_take() {
             return None;
         }
         self.place(now, work)
     }
 
     /// Serves held work while targets have slots, and drops what can no longer finish.
-    pub fn pump(&mut self, now: Moment) -> Vec<HoldVerdict> {
+    pub fn dispatch(&mut self, now: Moment) -> Vec<QueueDecision> {
         let mut verdicts = Vec::new();
         if self.queue.is_empty() {
             return verdicts;
         }
         self.views.refresh_health(now);
-        for ticket in self.queue.hopeless(now) {
+        for ticket in self.queue.infeasible(now) {
             self.queue.remove(ticket);
-            verdicts.push(HoldVerdict::Shed(ticket, ResultCode::Shed));
+            verdicts.push(QueueDecision::Shed(ticket, ResultCode::Shed));
         }
         while let Some(held) = self.queue.pop_excess() {
-            verdicts.push(HoldVerdict::Shed(held.ticket, ResultCode::QueueFull));
+            verdicts.push(QueueDecision::Shed(held.ticket, ResultCode::QueueFull));
         }
         while let Some((ticket, placement)) = self.serve_one(now) {
-            verdicts.push(HoldVerdict::Run(ticket, placement));
+            verdicts.push(QueueDecision::Run(ticket, placement));
         }
         verdicts
     }
 
     /// Takes back held work whose caller went away. Returns false if it was served already.
-    pub fn withdraw(&mut self, ticket: HoldTicket) -> bool {
+    pub fn cancel(&mut self, ticket: QueueTicket) -> bool {
         self.queue.remove(ticket).is_some()
     }
 
     /// Gives a placement back with its outcome.
     pub fn finish(&mut self, now: Moment, placement: &StagePlacement, outcome: StageOutcome) {
-        self.running.remove(&placement.number);
+        self.running.remove(&placement.id);
         let Some(at) = self.views.place_of(&placement.target) else {
             return;
         };
@@ -297,19 +303,19 @@
         let mean = self.estimates.mean(now, &hardware, placement.length);
         let ratio = time.as_secs_f64() / mean.as_secs_f64().max(1e-6);
         let view = self.views.at_mut(at);
-        view.note_end(now);
+        view.record_end(now);
         match outcome {
-            StageOutcome::Whole => view.health.note_success(ratio),
-            StageOutcome::Failed => view.health.note_failure(),
-            StageOutcome::GivenUp => view.health.note_given_up(ratio),
+            StageOutcome::Completed => view.health.record_success(ratio),
+            StageOutcome::Failed => view.health.record_failure(),
+            StageOutcome::TimedOut => view.health.record_timeout(ratio),
             StageOutcome::Leaving => {
-                view.note_leaving(now);
+                view.record_leaving(now);
             }
             StageOutcome::RefusedFull | StageOutcome::Cancelled => (),
         }
-        if outcome == StageOutcome::Whole {
+        if outcome == StageOutcome::Completed {
             if let Some(prefix) = placement.prefix {
-                view.note_prefix(prefix);
+                view.record_prefix(prefix);
                 self.prefixes.note(prefix, &placement.target);
             }
             self.estimates
@@ -324,11 +330,11 @@
     pub fn summary(&self, now: Moment) -> PoolSummary {
         let mut summary = PoolSummary {
             targets: self.views.all().len(),
-            held: self.queue.len(),
+            queued: self.queue.len(),
             ..PoolSummary::default()
         };
         for view in self.views.all() {
-            summary.own += view.own();
+            summary.inflight += view.own_inflight();
             summary.leaving += usize::from(view.leaving);
             summary.ejected += usize::from(view.health.is_ejected());
             if !view.leaving && !view.health.is_ejected() {
@@ -368,16 +374,16 @@
 
     fn own_backlog(&self, class: ClassRank) -> f64 {
         let promised: f64 = self.promised[..=class_index(class)].iter().sum();
-        self.queue.held_time(class).as_secs_f64() + promised
+        self.queue.queued_time(class).as_secs_f64() + promised
     }
 
-    fn serve_one(&mut self, now: Moment) -> Option<(HoldTicket, StagePlacement)> {
+    fn serve_one(&mut self, now: Moment) -> Option<(QueueTicket, StagePlacement)> {
         let first = self.queue.first()?.ticket;
         if let Some(found) = self.serve_ticket(now, first) {
             return Some(found);
         }
         // The first can wait for a model that no free target has; others need not wait for it.
-        let heads = self.queue.heads(LOOK_AHEAD);
+        let heads = self.queue.candidates(LOOK_AHEAD);
         heads
             .into_iter()
             .find_map(|ticket| self.serve_ticket(now, ticket))
@@ -386,8 +392,8 @@
     fn serve_ticket(
         &mut self,
         now: Moment,
-        ticket: HoldTicket,
-    ) -> Option<(HoldTicket, StagePlacement)> {
+        ticket: QueueTicket,
+    ) -> Option<(QueueTicket, StagePlacement)> {
         let work = self.queue.get(ticket)?.work.clone();
         let placement = self.place(now, &work)?;
         self.queue.serve(ticket);
@@ -411,7 +417,7 @@
             choose_baseline(policy, &input, self.views.all(), turn, &mut self.rng)
         };
         let view = self.views.at_mut(chosen?);
-        view.note_start(now);
+        view.record_start(now);
         self.next_number += 1;
         self.running.insert(self.next_number, now);
         Some(StagePlacement {
@@ -419,8 +425,8 @@
             placed_at: now,
             length: work.length,
             prefix: work.prefix,
-            expected: work.expected,
-            number: self.next_number,
+            expected_time: work.expected_time,
+            id: self.next_number,
         })
     }
 
--- a/packages/turnford-policy/src/retry.rs
+++ b/packages/turnford-policy/src/retry.rs
@@ -24,12 +24,12 @@
     }
 
     /// Notes a first attempt, which earns a part of a retry.
-    pub fn note_primary(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.tokens = (self.tokens + RETRY_RATIO).min(RETRY_CAP);
     }
 
     /// Takes one retry if the budget holds one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/packages/turnford-policy/src/routing.rs
+++ b/packages/turnford-policy/src/routing.rs
@@ -82,14 +82,14 @@
     /// A few calls beyond the slots are let through: what other nodes have there is known late, and
     /// a short queue at the target costs less than a slot that stays empty meanwhile.
     pub(crate) fn has_slot(&self, view: &TargetView) -> bool {
-        if !view.health.admits(view.own()) {
+        if !view.health.admits(view.own_inflight()) {
             return false;
         }
         let slots = f64::from(view.facts.slots);
         let floor = (slots * self.node_share).floor();
         let alone = self.node_share >= 1.0;
         let room = if alone { slots } else { slots * OVERCOMMIT };
-        f64::from(view.own()) < floor || view.inflight(self.now) + 1.0 <= room
+        f64::from(view.own_inflight()) < floor || view.inflight(self.now) + 1.0 <= room
     }
 
     /// Returns the expected time of the work itself on a target.
@@ -101,7 +101,7 @@
             Some(prefix) if view.has_prefix(prefix) => 1.0 - PREFIX_SAVING,
             _ => 1.0,
         };
-        let success = (1.0 - view.health.failure()).max(SMALLEST_SUCCESS);
+        let success = (1.0 - view.health.failure_rate()).max(SMALLEST_SUCCESS);
         mean.mul_f64(saving * view.health.slowness().max(0.2) / success)
     }
 
@@ -112,7 +112,7 @@
         let over = (inflight + 1.0 - slots).max(0.0);
         // A busy engine batches, so each call beside this one costs a little even below the slots.
         let crowding = 1.0 + 0.25 * (inflight / slots).min(1.0);
-        run.mul_f64(crowding + over / slots) + view.facts.distance * 2
+        run.mul_f64(crowding + over / slots) + view.facts.one_way_delay * 2
     }
 
     /// Returns a score; the smallest wins.
@@ -222,7 +222,9 @@
     }
     match policy {
         RoutingPolicy::Random => Some(usable[rng.random_range(0..usable.len())]),
-        RoutingPolicy::LeastInFlight => usable.into_iter().min_by_key(|at| views[*at].own()),
+        RoutingPolicy::LeastInFlight => usable
+            .into_iter()
+            .min_by_key(|at| views[*at].own_inflight()),
         RoutingPolicy::RoundRobin | RoutingPolicy::Estimated => {
             *turn = turn.wrapping_add(1);
             Some(usable[*turn % usable.len()])
--- a/packages/turnford-policy/src/target.rs
+++ b/packages/turnford-policy/src/target.rs
@@ -36,7 +36,7 @@
     /// Cost of one second of one slot, in the operators' unit.
     pub cost: f64,
     /// One-way delay from this node.
-    pub distance: Duration,
+    pub one_way_delay: Duration,
     /// Models and adapters present; empty where the service has none.
     pub models: Vec<Arc<str>>,
 }
@@ -87,12 +87,12 @@
     }
 
     /// Returns the calls that this node has running there.
-    pub fn own(&self) -> u32 {
+    pub fn own_inflight(&self) -> u32 {
         self.own
     }
 
     /// Notes a signal that the target leaves; true if it is the first.
-    pub fn note_leaving(&mut self, now: Moment) -> bool {
+    pub fn record_leaving(&mut self, now: Moment) -> bool {
         let first = !self.leaving;
         self.leaving = true;
         self.left_at = now;
@@ -101,7 +101,7 @@
 
     /// Notes the target's own word that it does not leave. It takes work again if the word is much
     /// newer than the last signal, as after a restart in place, and the list does not say otherwise.
-    pub fn note_staying(&mut self, taken_at: Moment) -> bool {
+    pub fn record_active(&mut self, taken_at: Moment) -> bool {
         let newer = taken_at > self.left_at + STAY_SPAN;
         let back = self.leaving && !self.listed_leaving && newer;
         if back {
@@ -111,13 +111,13 @@
     }
 
     /// Notes a call sent there.
-    pub fn note_start(&mut self, now: Moment) {
+    pub fn record_start(&mut self, now: Moment) {
         self.own += 1;
         self.remember(now);
     }
 
     /// Notes that a call ended there.
-    pub fn note_end(&mut self, now: Moment) {
+    pub fn record_end(&mut self, now: Moment) {
         debug_assert!(self.own > 0, "a call ended that was never sent");
         self.own = self.own.saturating_sub(1);
         self.remember(now);
@@ -137,7 +137,7 @@
     }
 
     /// Takes the sum of what peers have running there.
-    pub fn apply_peers(&mut self, now: Moment, inflight: u32) {
+    pub fn apply_peer_load(&mut self, now: Moment, inflight: u32) {
         self.peers = Some((now, inflight));
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Notes that the target holds a prefix, by its word or by a request that ran there.
-    pub fn note_prefix(&mut self, prefix: PrefixHash) {
+    pub fn record_prefix(&mut self, prefix: PrefixHash) {
         if let Some(at) = self.prefixes.iter().position(|known| *known == prefix) {
             self.prefixes.remove(at);
         }
@@ -175,7 +175,7 @@
     }
 
     /// Notes that the target dropped a prefix.
-    pub fn drop_prefix(&mut self, prefix: PrefixHash) {
+    pub fn remove_prefix(&mut self, prefix: PrefixHash) {
         self.prefixes.retain(|known| *known != prefix);
     }
 
--- a/packages/turnford-policy/src/turn.rs
+++ b/packages/turnford-policy/src/turn.rs
@@ -16,20 +16,20 @@
 /// Another thread answers the platform's question whether a node is ready. Without this mark a node
 /// whose serving thread has ended or hangs would be sent connections that nobody takes.
 #[derive(Debug, Default)]
-pub struct TurnMark {
+pub struct ThreadHeartbeat {
     /// Milliseconds of the node's clock.
     last: AtomicU64,
 }
 
-impl TurnMark {
+impl ThreadHeartbeat {
     /// Notes a turn.
-    pub fn note(&self, now: Moment) {
+    pub fn beat(&self, now: Moment) {
         let millis = u64::try_from(now.as_millis()).unwrap_or(u64::MAX);
         self.last.store(millis, Ordering::Relaxed);
     }
 
     /// Tells whether the thread is at work. One that has not begun counts from the clock's start.
-    pub fn is_fresh(&self, now: Moment) -> bool {
+    pub fn is_alive(&self, now: Moment) -> bool {
         let last = Duration::from_millis(self.last.load(Ordering::Relaxed));
         now.saturating_sub(last) < STUCK_AGE
     }
--- a/packages/turnford-policy/src/view_table.rs
+++ b/packages/turnford-policy/src/view_table.rs
@@ -52,7 +52,7 @@
             self.views.push(view);
         }
         // A target that is gone from the list but still runs calls of this node stays as leaving.
-        let running = old.into_values().filter(|view| view.own() > 0);
+        let running = old.into_values().filter(|view| view.own_inflight() > 0);
         self.views.extend(running.map(|mut view| {
             view.leaving = true;
             view.listed_leaving = true;
@@ -75,7 +75,7 @@
             return;
         }
         for view in &mut self.views {
-            view.health.refresh(now);
+            view.health.expire_ejection(now);
         }
         self.ejections = self
             .views
@@ -87,11 +87,13 @@
     /// Takes a target out if it is bad next to its peers and the pool can spare it.
     pub(crate) fn judge(&mut self, now: Moment, at: usize, settings: &HealthSettings) {
         let health = &self.views[at].health;
-        if health.is_ejected() || !health.is_suspect(settings) {
+        if health.is_ejected() || !health.may_be_outlier(settings) {
             return;
         }
         let (failure, slowness) = self.peer_medians(at);
-        let bad = self.views[at].health.is_bad(settings, failure, slowness);
+        let bad = self.views[at]
+            .health
+            .is_outlier(settings, failure, slowness);
         let bad = bad || self.views[at].health.fails_probation(settings);
         if bad && self.can_spare(settings) {
             self.views[at].health.eject(now, settings);
@@ -118,7 +120,10 @@
         } else {
             same
         };
-        let failures = peers.iter().map(|view| view.health.failure()).collect();
+        let failures = peers
+            .iter()
+            .map(|view| view.health.failure_rate())
+            .collect();
         let slownesses = peers.iter().map(|view| view.health.slowness()).collect();
         (median(failures, 0.0), median(slownesses, 1.0))
     }
@@ -130,7 +135,7 @@
             .iter()
             .filter(|view| view.health.is_ejected())
             .count();
-        let allowed = (live as f64 * settings.ejected_part).floor() as usize;
+        let allowed = (live as f64 * settings.max_ejected_ratio).floor() as usize;
         let allowed = if live >= 2 { allowed.max(1) } else { 0 };
         ejected < allowed
     }
--- a/packages/turnford-policy/src/work.rs
+++ b/packages/turnford-policy/src/work.rs
@@ -6,9 +6,9 @@
 use crate::AccountId;
 use crate::ClassRank;
 use crate::HealthSettings;
-use crate::HoldTicket;
 use crate::Moment;
 use crate::PrefixHash;
+use crate::QueueTicket;
 use crate::ResultCode;
 use crate::RoutingPolicy;
 use crate::TargetId;
@@ -19,9 +19,9 @@
     /// Choice of targets.
     pub policy: RoutingPolicy,
     /// Whether work is held for a slot; baselines send at once.
-    pub holds: bool,
+    pub queues_work: bool,
     /// Most pieces of work held.
-    pub hold_limit: usize,
+    pub queue_limit: usize,
     /// When targets are taken out; `None` never takes one out (baseline).
     pub health: Option<HealthSettings>,
     /// Seed of the choices.
@@ -32,8 +32,8 @@
     fn default() -> Self {
         Self {
             policy: RoutingPolicy::Estimated,
-            holds: true,
-            hold_limit: 512,
+            queues_work: true,
+            queue_limit: 512,
             health: Some(HealthSettings::default()),
             seed: 1,
         }
@@ -54,13 +54,13 @@
     /// Input length in tokens.
     pub length: u32,
     /// Expected time on the mean target.
-    pub expected: Duration,
+    pub expected_time: Duration,
     /// Latest start that leaves the later stages their reserves.
     pub latest_start: Moment,
     /// Latest end that leaves the later stages their reserves.
     pub latest_end: Moment,
     /// After this time the request can't finish even if all goes as expected.
-    pub hopeless_after: Moment,
+    pub infeasible_after: Moment,
     /// Model or adapter needed.
     pub model: Option<Arc<str>>,
     /// Hash of the prompt's prefix.
@@ -81,18 +81,18 @@
     /// Prefix of the work.
     pub prefix: Option<PrefixHash>,
     /// Time that was expected.
-    pub expected: Duration,
+    pub expected_time: Duration,
     /// Number of the placement in its pool.
-    pub number: u64,
+    pub id: u64,
 }
 
 /// Answer to an offer of work.
 #[derive(Clone, Debug)]
-pub enum PoolOffer {
+pub enum SubmitResult {
     /// Runs now.
     Run(StagePlacement),
-    /// Waits; [`ServicePool::pump`] gives the verdict.
-    Held(HoldTicket),
+    /// Waits; [`ServicePool::dispatch`] gives the verdict.
+    Queued(QueueTicket),
     /// Refused; nothing was started.
     Refused {
         /// Why.
@@ -104,22 +104,22 @@
 
 /// End of a wait.
 #[derive(Clone, Debug)]
-pub enum HoldVerdict {
+pub enum QueueDecision {
     /// Runs now.
-    Run(HoldTicket, StagePlacement),
+    Run(QueueTicket, StagePlacement),
     /// Dropped before it ran.
-    Shed(HoldTicket, ResultCode),
+    Shed(QueueTicket, ResultCode),
 }
 
 /// How a placed call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageOutcome {
     /// Whole answer.
-    Whole,
+    Completed,
     /// The target failed the call.
     Failed,
     /// The call was given up after its time ran out.
-    GivenUp,
+    TimedOut,
     /// The target refused before it started because it is full.
     RefusedFull,
     /// The target refused or closed because it leaves.
@@ -140,9 +140,9 @@
     /// Slots of the targets that get work.
     pub slots: u32,
     /// Calls of this node in flight.
-    pub own: u32,
+    pub inflight: u32,
     /// Pieces of work held.
-    pub held: usize,
+    pub queued: usize,
     /// Expected seconds of held and promised work of this node.
     pub backlog: f64,
     /// Mean time of a call as measured here; `None` before enough was measured.
--- a/packages/turnford-policy/tests/boot_clock.rs
+++ b/packages/turnford-policy/tests/boot_clock.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use turnford_policy::Clock;
-use turnford_policy::SleepWatch;
+use turnford_policy::SuspendDetector;
 use turnford_policy::SystemClock;
 
 const MS: Duration = Duration::from_millis(1);
@@ -69,12 +69,12 @@
 #[test]
 fn sleep_seen() {
     // The second clock stands still while the machine is suspended.
-    let mut watch = SleepWatch::new(1000 * MS, 500 * MS);
-    assert_eq!(watch.look(1200 * MS, 700 * MS), None);
+    let mut watch = SuspendDetector::new(1000 * MS, 500 * MS);
+    assert_eq!(watch.check(1200 * MS, 700 * MS), None);
     // A thread that did not run for long is no sleep.
-    assert_eq!(watch.look(4200 * MS, 3700 * MS), None);
-    assert_eq!(watch.look(7400 * MS, 3900 * MS), Some(3000 * MS));
-    assert_eq!(watch.look(7600 * MS, 4100 * MS), None);
+    assert_eq!(watch.check(4200 * MS, 3700 * MS), None);
+    assert_eq!(watch.check(7400 * MS, 3900 * MS), Some(3000 * MS));
+    assert_eq!(watch.check(7600 * MS, 4100 * MS), None);
     // Clocks are read one after the other: some milliseconds are none.
-    assert_eq!(watch.look(7815 * MS, 4300 * MS), None);
+    assert_eq!(watch.check(7815 * MS, 4300 * MS), None);
 }
--- a/packages/turnford-policy/tests/chain_budget.rs
+++ b/packages/turnford-policy/tests/chain_budget.rs
@@ -6,9 +6,9 @@
 use turnford_policy::plan_admission;
 use turnford_policy::AccountLimit;
 use turnford_policy::AdmissionPlan;
-use turnford_policy::AgedHistogram;
 use turnford_policy::AttemptSource;
 use turnford_policy::DeadlineBudget;
+use turnford_policy::DecayingHistogram;
 use turnford_policy::LimitRefusal;
 use turnford_policy::Moment;
 use turnford_policy::ProbeGate;
@@ -23,7 +23,7 @@
 fn demand(wait: u64, reserve: u64) -> StageDemand {
     StageDemand {
         wait: millis(wait),
-        expected: millis(reserve),
+        expected_time: millis(reserve),
         reserve: millis(reserve),
     }
 }
@@ -83,10 +83,10 @@
 #[test]
 fn retry_part() {
     let mut budget = RetryBudget::new();
-    while budget.take() {}
+    while budget.try_take() {}
     let retries = (0..1_000).filter(|_| {
-        budget.note_primary();
-        budget.take()
+        budget.record_first_attempt();
+        budget.try_take()
     });
     let count = retries.count();
     assert!(
@@ -97,7 +97,7 @@
 
 #[test]
 fn aged_times() {
-    let mut histogram = AgedHistogram::new(Duration::from_secs(10));
+    let mut histogram = DecayingHistogram::new(Duration::from_secs(10));
     for _ in 0..100 {
         histogram.record(Moment::ZERO, millis(100));
     }
@@ -125,9 +125,9 @@
 #[test]
 fn attempt_texts() {
     let source = AttemptSource::new(u64::MAX);
-    let id = source.next_request().at(3, 2);
+    let id = source.next_request().with_attempt(3, 2);
     assert_eq!(id.to_string().parse(), Ok(id));
-    assert_ne!(source.next_request(), id.at(0, 0));
+    assert_ne!(source.next_request(), id.with_attempt(0, 0));
     for text in ["", "1-2-3", "1-2-3-4-5", "x-1-1-1", "1-1-999-1"] {
         assert!(
             text.parse::<turnford_policy::AttemptId>().is_err(),
@@ -159,7 +159,7 @@
     // they hardly ever are.
     let stage = StageDemand {
         wait: Duration::ZERO,
-        expected: millis(1_000),
+        expected_time: millis(1_000),
         reserve: millis(1_500),
     };
     let plan = plan_admission(Moment::ZERO, millis(4_000), &[stage; 3], None);
--- a/packages/turnford-policy/tests/pool_rules.rs
+++ b/packages/turnford-policy/tests/pool_rules.rs
@@ -8,16 +8,16 @@
 use common::histories;
 use proptest::prelude::*;
 use turnford_policy::HealthState;
-use turnford_policy::HoldVerdict;
 use turnford_policy::LoadReport;
 use turnford_policy::Moment;
-use turnford_policy::PoolOffer;
 use turnford_policy::PoolSettings;
+use turnford_policy::QueueDecision;
 use turnford_policy::ResultCode;
 use turnford_policy::ServicePool;
 use turnford_policy::StageOutcome;
 use turnford_policy::StagePlacement;
 use turnford_policy::StageWork;
+use turnford_policy::SubmitResult;
 use turnford_policy::TargetFacts;
 
 const TARGETS: usize = 5;
@@ -30,14 +30,14 @@
         hardware: Arc::from("plain"),
         slots: SLOTS,
         cost: 1.0,
-        distance: Duration::ZERO,
+        one_way_delay: Duration::ZERO,
         models: Vec::new(),
     }
 }
 
 fn pool(limit: usize) -> ServicePool {
     let settings = PoolSettings {
-        hold_limit: limit,
+        queue_limit: limit,
         ..PoolSettings::default()
     };
     let mut pool = ServicePool::new(settings);
@@ -52,19 +52,19 @@
         share: 1.0,
         cost_weight: 0.0,
         length: 100,
-        expected: STAGE_TIME,
+        expected_time: STAGE_TIME,
         latest_start: now + Duration::from_millis(800),
         latest_end: now + Duration::from_millis(900),
-        hopeless_after: now + Duration::from_millis(900),
+        infeasible_after: now + Duration::from_millis(900),
         model: None,
         prefix: None,
         tried: Vec::new(),
     }
 }
 
-fn placed(offer: PoolOffer) -> StagePlacement {
+fn placed(offer: SubmitResult) -> StagePlacement {
     match offer {
-        PoolOffer::Run(placement) => placement,
+        SubmitResult::Run(placement) => placement,
         other => panic!("not placed: {other:?}"),
     }
 }
@@ -73,7 +73,7 @@
 fn fill(pool: &mut ServicePool, now: Moment) -> Vec<StagePlacement> {
     let count = TARGETS * SLOTS as usize;
     (0..count)
-        .map(|_| placed(pool.offer(now, work(now, "a", 1))))
+        .map(|_| placed(pool.submit(now, work(now, "a", 1))))
         .collect()
 }
 
@@ -89,9 +89,9 @@
 
 fn event() -> impl Strategy<Value = Event> {
     let outcome = prop_oneof![
-        5 => Just(StageOutcome::Whole),
+        5 => Just(StageOutcome::Completed),
         1 => Just(StageOutcome::Failed),
-        1 => Just(StageOutcome::GivenUp),
+        1 => Just(StageOutcome::TimedOut),
         1 => Just(StageOutcome::RefusedFull),
         1 => Just(StageOutcome::Cancelled),
     ];
@@ -118,10 +118,10 @@
         for event in events {
             let mut new = Vec::new();
             match event {
-                Event::Offer { class } => match pool.offer(now, work(now, "a", class)) {
-                    PoolOffer::Run(placement) => new.push(placement),
-                    PoolOffer::Held(ticket) => held.push(ticket),
-                    PoolOffer::Refused { .. } => (),
+                Event::Offer { class } => match pool.submit(now, work(now, "a", class)) {
+                    SubmitResult::Run(placement) => new.push(placement),
+                    SubmitResult::Queued(ticket) => held.push(ticket),
+                    SubmitResult::Refused { .. } => (),
                 },
                 Event::Finish { index, outcome } if !running.is_empty() => {
                     let placement = running.remove(index % running.len());
@@ -137,18 +137,18 @@
                 }
                 Event::Withdraw { index } if !held.is_empty() => {
                     let ticket = held.remove(index % held.len());
-                    prop_assert!(pool.withdraw(ticket), "held work was not in the queue");
+                    prop_assert!(pool.cancel(ticket), "held work was not in the queue");
                 }
                 Event::Wait { millis } => now += Duration::from_millis(millis),
                 _ => (),
             }
-            for verdict in pool.pump(now) {
+            for verdict in pool.dispatch(now) {
                 let ticket = match verdict {
-                    HoldVerdict::Run(ticket, placement) => {
+                    QueueDecision::Run(ticket, placement) => {
                         new.push(placement);
                         ticket
                     }
-                    HoldVerdict::Shed(ticket, code) => {
+                    QueueDecision::Shed(ticket, code) => {
                         let known = matches!(code, ResultCode::Shed | ResultCode::QueueFull);
                         prop_assert!(known, "{code:?}");
                         ticket
@@ -164,10 +164,10 @@
                 running.push(placement);
             }
             let summary = pool.summary(now);
-            prop_assert_eq!(summary.own as usize, running.len());
-            prop_assert_eq!(summary.held, held.len());
+            prop_assert_eq!(summary.inflight as usize, running.len());
+            prop_assert_eq!(summary.queued, held.len());
             prop_assert!(held.len() <= 6, "the queue grew to {}", held.len());
-            let most = pool.views().iter().map(|view| view.own()).max().unwrap_or(0);
+            let most = pool.views().iter().map(|view| view.own_inflight()).max().unwrap_or(0);
             prop_assert!(most <= SLOTS, "{} calls in {} slots", most, SLOTS);
         }
     }
@@ -180,16 +180,16 @@
     let running = fill(&mut pool, now);
     let mut tickets = Vec::new();
     for class in [2, 0, 1] {
-        match pool.offer(now, work(now, "a", class)) {
-            PoolOffer::Held(ticket) => tickets.push(ticket),
+        match pool.submit(now, work(now, "a", class)) {
+            SubmitResult::Queued(ticket) => tickets.push(ticket),
             other => panic!("not held: {other:?}"),
         }
     }
     let mut order = Vec::new();
     for placement in &running[..3] {
-        pool.finish(now + STAGE_TIME, placement, StageOutcome::Whole);
-        for verdict in pool.pump(now + STAGE_TIME) {
-            if let HoldVerdict::Run(ticket, _) = verdict {
+        pool.finish(now + STAGE_TIME, placement, StageOutcome::Completed);
+        for verdict in pool.dispatch(now + STAGE_TIME) {
+            if let QueueDecision::Run(ticket, _) = verdict {
                 order.push(ticket);
             }
         }
@@ -205,21 +205,21 @@
     let running = fill(&mut pool, now);
     for _ in 0..20 {
         assert!(matches!(
-            pool.offer(now, work(now, "large", 1)),
-            PoolOffer::Held(_)
+            pool.submit(now, work(now, "large", 1)),
+            SubmitResult::Queued(_)
         ));
     }
     let small: Vec<u64> = (0..2)
-        .map(|_| match pool.offer(now, work(now, "small", 1)) {
-            PoolOffer::Held(ticket) => ticket,
+        .map(|_| match pool.submit(now, work(now, "small", 1)) {
+            SubmitResult::Queued(ticket) => ticket,
             other => panic!("not held: {other:?}"),
         })
         .collect();
     let mut order = Vec::new();
     for placement in &running[..4] {
-        pool.finish(now + STAGE_TIME, placement, StageOutcome::Whole);
-        for verdict in pool.pump(now + STAGE_TIME) {
-            if let HoldVerdict::Run(ticket, _) = verdict {
+        pool.finish(now + STAGE_TIME, placement, StageOutcome::Completed);
+        for verdict in pool.dispatch(now + STAGE_TIME) {
+            if let QueueDecision::Run(ticket, _) = verdict {
                 order.push(ticket);
             }
         }
@@ -238,23 +238,26 @@
     fill(&mut pool, now);
     for _ in 0..2 {
         assert!(matches!(
-            pool.offer(now, work(now, "a", 3)),
-            PoolOffer::Held(_)
+            pool.submit(now, work(now, "a", 3)),
+            SubmitResult::Queued(_)
         ));
     }
     assert!(matches!(
-        pool.offer(now, work(now, "a", 0)),
-        PoolOffer::Held(_)
+        pool.submit(now, work(now, "a", 0)),
+        SubmitResult::Queued(_)
     ));
-    let verdicts = pool.pump(now);
+    let verdicts = pool.dispatch(now);
     assert!(
-        matches!(verdicts[..], [HoldVerdict::Shed(_, ResultCode::QueueFull)]),
+        matches!(
+            verdicts[..],
+            [QueueDecision::Shed(_, ResultCode::QueueFull)]
+        ),
         "{verdicts:?}"
     );
-    let refused = pool.offer(now, work(now, "a", 3));
+    let refused = pool.submit(now, work(now, "a", 3));
     assert!(matches!(
         refused,
-        PoolOffer::Refused {
+        SubmitResult::Refused {
             code: ResultCode::QueueFull,
             ..
         }
@@ -267,12 +270,12 @@
     let now = Moment::ZERO;
     fill(&mut pool, now);
     assert!(matches!(
-        pool.offer(now, work(now, "a", 0)),
-        PoolOffer::Held(_)
+        pool.submit(now, work(now, "a", 0)),
+        SubmitResult::Queued(_)
     ));
-    let verdicts = pool.pump(now + Duration::from_secs(1));
+    let verdicts = pool.dispatch(now + Duration::from_secs(1));
     assert!(
-        matches!(verdicts[..], [HoldVerdict::Shed(_, ResultCode::Shed)]),
+        matches!(verdicts[..], [QueueDecision::Shed(_, ResultCode::Shed)]),
         "{verdicts:?}"
     );
 }
@@ -283,7 +286,7 @@
     for round in 0..40 {
         let now = Duration::from_millis(100 * round as u64);
         let placements: Vec<_> = (0..calls)
-            .map(|_| placed(pool.offer(now, work(now, "a", 1))))
+            .map(|_| placed(pool.submit(now, work(now, "a", 1))))
             .collect();
         for placement in placements {
             let number: usize = placement.target[2..].parse().expect("names are numbered");
@@ -296,7 +299,7 @@
                     StageOutcome::Failed,
                 );
             } else {
-                pool.finish(now + STAGE_TIME, &placement, StageOutcome::Whole);
+                pool.finish(now + STAGE_TIME, &placement, StageOutcome::Completed);
             }
         }
     }
@@ -335,7 +338,7 @@
             let outcome = if failed {
                 StageOutcome::Failed
             } else {
-                StageOutcome::Whole
+                StageOutcome::Completed
             };
             pool.finish(STAGE_TIME, &placement, outcome);
         }
@@ -346,7 +349,7 @@
     let mut probed = 0;
     for _ in 0..40 {
         let placements: Vec<_> = (0..8)
-            .map(|_| placed(pool.offer(now, work(now, "a", 1))))
+            .map(|_| placed(pool.submit(now, work(now, "a", 1))))
             .collect();
         let here = placements
             .iter()
@@ -359,7 +362,7 @@
         );
         probed += here;
         for placement in &placements {
-            pool.finish(now + STAGE_TIME, placement, StageOutcome::Whole);
+            pool.finish(now + STAGE_TIME, placement, StageOutcome::Completed);
         }
     }
     assert!(probed >= 3 && pool.views()[2].health.state == HealthState::Healthy);
@@ -369,7 +372,7 @@
 fn stale_report() {
     // A report from before this node's own calls must not count them twice.
     let mut pool = pool(10);
-    let first = placed(pool.offer(Duration::from_millis(100), work(Moment::ZERO, "a", 1)));
+    let first = placed(pool.submit(Duration::from_millis(100), work(Moment::ZERO, "a", 1)));
     let taken_at = Duration::from_millis(200);
     pool.apply_report(
         &first.target,
@@ -390,16 +393,16 @@
 fn cold_pool() {
     // Nothing was measured yet, but a call that has run for 2 s says that calls are not short.
     let mut pool = pool(10);
-    placed(pool.offer(Moment::ZERO, work(Moment::ZERO, "a", 1)));
+    placed(pool.submit(Moment::ZERO, work(Moment::ZERO, "a", 1)));
     assert_eq!(
-        pool.expected(Duration::from_secs(2), 100),
+        pool.expected_time(Duration::from_secs(2), 100),
         Duration::from_secs(2)
     );
     // What peers measured is taken until this node has measured itself.
     let mut other = ServicePool::new(PoolSettings::default());
     other.apply_peer_mean(Duration::from_millis(700));
     assert_eq!(
-        other.expected(Moment::ZERO, 100),
+        other.expected_time(Moment::ZERO, 100),
         Duration::from_millis(700)
     );
 }
@@ -411,11 +414,11 @@
     let second = Duration::from_secs(1);
     assert!(pool.mark_leaving(second, "t-1"));
     assert!(
-        !pool.mark_staying("t-1", second * 3),
+        !pool.mark_active("t-1", second * 3),
         "an old report brought the target back"
     );
-    assert!(pool.mark_staying("t-1", second * 9));
+    assert!(pool.mark_active("t-1", second * 9));
     // While the list says that it leaves, its own word does not count.
-    assert!(pool.mark_listed(second * 10, "t-1", true));
-    assert!(!pool.mark_staying("t-1", second * 30));
+    assert!(pool.apply_listed_leaving(second * 10, "t-1", true));
+    assert!(!pool.mark_active("t-1", second * 30));
 }
--- a/packages/turnford-serve/src/control/sleep.rs
+++ b/packages/turnford-serve/src/control/sleep.rs
@@ -10,9 +10,9 @@
 use async_io::Timer;
 
 use turnford_policy::boot_time;
-use turnford_policy::steady_time;
+use turnford_policy::monotonic_time;
 use turnford_policy::Moment;
-use turnford_policy::SleepWatch;
+use turnford_policy::SuspendDetector;
 
 use super::context::ControlContext;
 
@@ -25,11 +25,11 @@
 
 /// Looks for sleeps for as long as the node runs.
 pub(super) async fn watch_sleep(context: Rc<ControlContext>) {
-    let mut watch = SleepWatch::new(boot_time(), steady_time());
+    let mut watch = SuspendDetector::new(boot_time(), monotonic_time());
     let mut woken_at = None;
     loop {
         Timer::after(LOOK_PAUSE).await;
-        if let Some(slept) = watch.look(boot_time(), steady_time()) {
+        if let Some(slept) = watch.check(boot_time(), monotonic_time()) {
             log::warn!("the machine was suspended for {}ms", slept.as_millis());
             context.shared.has_slept.store(true, Ordering::SeqCst);
             woken_at = Some(context.now());
--- a/packages/turnford-serve/src/node.rs
+++ b/packages/turnford-serve/src/node.rs
@@ -22,7 +22,7 @@
 use turnford_config::ServeSettings;
 use turnford_http::bind_listener;
 use turnford_policy::SystemClock;
-use turnford_policy::TurnMark;
+use turnford_policy::ThreadHeartbeat;
 
 use crate::control::run_control;
 use crate::control::ControlListeners;
@@ -91,7 +91,7 @@
             changes,
             draining: AtomicBool::new(false),
             stop_begun: AtomicU64::new(0),
-            turns: TurnMark::default(),
+            turns: ThreadHeartbeat::default(),
             has_asked_members: AtomicBool::new(false),
             knows_crashes: AtomicBool::new(false),
             knows_view: AtomicBool::new(false),
@@ -249,7 +249,7 @@
     let limiting = traffic.clone();
     let limits = move || limiting.current_view().config.limits;
     let turning = traffic.shared.clone();
-    let turn = move || turning.turns.note(turning.now());
+    let turn = move || turning.turns.beat(turning.now());
     let handler = move |request| handle_client(traffic.clone(), request);
     let closing = signals.closing;
     let accept = accept_links(executor.clone(), listener, limits, closing, turn, handler);
--- a/packages/turnford-serve/src/record.rs
+++ b/packages/turnford-serve/src/record.rs
@@ -173,7 +173,7 @@
         let is_prompt = head.is_some_and(|head| head <= self.route.latency_objective);
         let pause = self.longest_pause();
         let is_steady = self.route.gap_objective.is_none_or(|goal| pause <= goal);
-        let is_plain = code.is_whole() && is_prompt && is_steady;
+        let is_plain = code.is_complete() && is_prompt && is_steady;
         let level = if is_plain {
             log::Level::Info
         } else {
--- a/packages/turnford-serve/src/shared.rs
+++ b/packages/turnford-serve/src/shared.rs
@@ -20,7 +20,7 @@
 use turnford_policy::RouteTable;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
-use turnford_policy::TurnMark;
+use turnford_policy::ThreadHeartbeat;
 
 use crate::kept::KeptSuspects;
 use crate::metrics::ServeMetrics;
@@ -93,7 +93,7 @@
     /// When the stop began, in milliseconds of the node's clock; 0 before.
     pub(crate) stop_begun: AtomicU64,
     /// Turns of the thread that takes clients' connections.
-    pub(crate) turns: TurnMark,
+    pub(crate) turns: ThreadHeartbeat,
     /// Whether the store was asked for the other nodes, with whatever success.
     pub(crate) has_asked_members: AtomicBool,
     /// Whether another node told which requests crash targets, or there is none to ask.
@@ -178,7 +178,7 @@
             self.knows_crashes.load(Ordering::SeqCst) && self.knows_view.load(Ordering::SeqCst);
         let is_awake = !self.has_slept.load(Ordering::SeqCst);
         let is_complete = has_asked && is_awake && self.view.load().is_complete();
-        !self.is_draining() && is_complete && self.turns.is_fresh(self.now())
+        !self.is_draining() && is_complete && self.turns.is_alive(self.now())
     }
 
     /// Puts a new view into force.
--- a/packages/turnford/src/command/node.rs
+++ b/packages/turnford/src/command/node.rs
@@ -68,7 +68,7 @@
         ..PoolSettings::default()
     };
     if policy != RoutingPolicy::Estimated {
-        pool.holds = false;
+        pool.queues_work = false;
         pool.health = None;
     }
     let admits = admits && policy == RoutingPolicy::Estimated;
