--- a/packages/turnford-http/src/arrival.rs
+++ b/packages/turnford-http/src/arrival.rs
@@ -21,35 +21,35 @@
 /// again takes the link from the next try: a node with a full link would ask for a large configuration
 /// for ever and never have it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerLimit {
+pub struct ResponseTimeouts {
     /// Time until the answer begins.
-    pub begin: Duration,
+    pub first_byte: Duration,
     /// Time for each further part of it.
-    pub pause: Duration,
+    pub idle: Duration,
     /// Time for all of it, once it has begun.
-    pub whole: Duration,
+    pub total: Duration,
 }
 
-impl AnswerLimit {
+impl ResponseTimeouts {
     /// Makes the limit of an answer that has to begin within some time.
     pub const fn new(begin: Duration) -> Self {
         Self {
-            begin,
-            pause: LONGEST_PAUSE,
-            whole: LONGEST_ARRIVAL,
+            first_byte: begin,
+            idle: LONGEST_PAUSE,
+            total: LONGEST_ARRIVAL,
         }
     }
 }
 
 /// Why an answer that had begun did not come whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ArrivalFault<E> {
+pub enum ReceiveError<E> {
     /// It stopped coming after so many bytes.
     Stalled(usize),
     /// It is larger than its reader takes.
     TooLarge,
     /// It broke off.
-    Broken(E),
+    Transport(E),
 }
 
 /// Reads the parts of an answer that has begun, of at most `bound` bytes, for as long as they come.
@@ -58,22 +58,22 @@
 /// # Errors
 ///
 /// Returns why the answer did not come whole.
-pub async fn read_parts<E>(
-    limit: &AnswerLimit,
+pub async fn read_chunks<E>(
+    limit: &ResponseTimeouts,
     bound: usize,
     mut next: impl AsyncFnMut() -> Option<Result<Bytes, E>>,
-) -> Result<Vec<u8>, ArrivalFault<E>> {
+) -> Result<Vec<u8>, ReceiveError<E>> {
     let received = Cell::new(0);
     let read = async {
         let mut bytes = Vec::new();
         loop {
             let stalled = async {
-                Timer::after(limit.pause).await;
-                Some(Err(ArrivalFault::Stalled(received.get())))
+                Timer::after(limit.idle).await;
+                Some(Err(ReceiveError::Stalled(received.get())))
             };
             let part = async {
                 let part = next().await?;
-                Some(part.map_err(ArrivalFault::Broken))
+                Some(part.map_err(ReceiveError::Transport))
             };
             let Some(part) = part.or(stalled).await else {
                 return Ok(bytes);
@@ -81,43 +81,43 @@
             bytes.extend_from_slice(&part?);
             received.set(bytes.len());
             if bytes.len() > bound {
-                return Err(ArrivalFault::TooLarge);
+                return Err(ReceiveError::TooLarge);
             }
         }
     };
     let over = async {
-        Timer::after(limit.whole).await;
-        Err(ArrivalFault::Stalled(received.get()))
+        Timer::after(limit.total).await;
+        Err(ReceiveError::Stalled(received.get()))
     };
     read.or(over).await
 }
 
 /// Counts the answers that are arriving at a client.
 #[derive(Debug, Default)]
-pub struct ArrivalCount {
+pub struct ReceiveCounter {
     arriving: Cell<u32>,
 }
 
 /// An answer that is arriving, until it is dropped.
 #[derive(Debug)]
-pub struct ArrivalGuard<'a> {
-    count: &'a ArrivalCount,
+pub struct ReceiveGuard<'a> {
+    count: &'a ReceiveCounter,
 }
 
-impl ArrivalCount {
+impl ReceiveCounter {
     /// Notes that an answer begins.
-    pub fn enter(&self) -> ArrivalGuard<'_> {
+    pub fn begin(&self) -> ReceiveGuard<'_> {
         self.arriving.set(self.arriving.get() + 1);
-        ArrivalGuard { count: self }
+        ReceiveGuard { count: self }
     }
 
     /// Tells whether an answer is arriving.
-    pub fn is_any(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.arriving.get() > 0
     }
 }
 
-impl Drop for ArrivalGuard<'_> {
+impl Drop for ReceiveGuard<'_> {
     fn drop(&mut self) {
         let arriving = &self.count.arriving;
         arriving.set(arriving.get() - 1);
--- a/packages/turnford-http/src/client.rs
+++ b/packages/turnford-http/src/client.rs
@@ -32,13 +32,13 @@
 use turnford_policy::SystemClock;
 
 use crate::open_stream;
-use crate::read_parts;
-use crate::AnswerLimit;
-use crate::ArrivalFault;
-use crate::HttpFault;
+use crate::read_chunks;
+use crate::HttpError;
 use crate::HttpRequest;
+use crate::ReceiveError;
+use crate::ResponseTimeouts;
 use crate::DEFAULT_BODY_LIMIT;
-use crate::LARGE_ANSWER_LIMIT;
+use crate::LARGE_RESPONSE_LIMIT;
 
 /// Most idle connections kept to one address.
 const IDLE_LIMIT: usize = 64;
@@ -62,11 +62,11 @@
 }
 
 impl DrivenLink {
-    async fn open(to: SocketAddr) -> Result<Self, HttpFault> {
+    async fn open(to: SocketAddr) -> Result<Self, HttpError> {
         let stream = open_stream(to).await;
-        let stream = stream.map_err(|_| HttpFault::NotConnected)?;
+        let stream = stream.map_err(|_| HttpError::NotConnected)?;
         let shaken = http1::handshake(FuturesIo::new(stream.clone())).await;
-        let (sender, driver) = shaken.map_err(|_| HttpFault::NotConnected)?;
+        let (sender, driver) = shaken.map_err(|_| HttpError::NotConnected)?;
         Ok(Self {
             sender,
             driver: Box::pin(driver),
@@ -86,7 +86,7 @@
     async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, HttpFault> {
+    ) -> Result<Response<Incoming>, HttpError> {
         let Self {
             sender,
             driver,
@@ -95,12 +95,12 @@
         } = self;
         let exchange = async {
             if sender.ready().await.is_err() {
-                return Err(HttpFault::NotConnected);
+                return Err(HttpError::NotConnected);
             }
             let sent = sender.try_send_request(request).await;
             sent.map_err(|mut error| match error.take_message() {
-                Some(_) => HttpFault::NotConnected,
-                None => HttpFault::Broken,
+                Some(_) => HttpError::NotConnected,
+                None => HttpError::Disconnected,
             })
         };
         drive(driver, is_done, exchange).await
@@ -135,7 +135,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
+pub struct BufferedResponse {
     /// Status code of the answer.
     pub status: u16,
     /// Whole body, never cut.
@@ -166,10 +166,10 @@
     ///
     /// # Errors
     ///
-    /// Returns [`HttpFault::NotConnected`] if the path is none.
-    pub fn request(method: Method, to: SocketAddr, path: &str) -> Result<HttpRequest, HttpFault> {
+    /// Returns [`HttpError::NotConnected`] if the path is none.
+    pub fn request(method: Method, to: SocketAddr, path: &str) -> Result<HttpRequest, HttpError> {
         if !path.starts_with('/') {
-            return Err(HttpFault::NotConnected);
+            return Err(HttpError::NotConnected);
         }
         Ok(HttpRequest::new(method, to, path))
     }
@@ -184,15 +184,15 @@
         to: SocketAddr,
         request: HttpRequest,
         limit: Duration,
-    ) -> Result<HttpAnswer, HttpFault> {
+    ) -> Result<BufferedResponse, HttpError> {
         let clock = SystemClock::new();
         let mut open = self.open(to, request, limit).await?;
         let left = limit.saturating_sub(clock.now());
-        let body = within(left, HttpFault::LateAfterSend, open.read_body()).await?;
+        let body = within(left, HttpError::TimeoutAfterSend, open.read_body()).await?;
         Ok(open.finish(body))
     }
 
-    /// Sends a request and reads an answer of up to [`LARGE_ANSWER_LIMIT`] for as long as it comes.
+    /// Sends a request and reads an answer of up to [`LARGE_RESPONSE_LIMIT`] for as long as it comes.
     ///
     /// # Errors
     ///
@@ -201,15 +201,15 @@
         &self,
         to: SocketAddr,
         request: HttpRequest,
-        limit: &AnswerLimit,
-    ) -> Result<HttpAnswer, HttpFault> {
-        let mut open = self.open(to, request, limit.begin).await?;
+        limit: &ResponseTimeouts,
+    ) -> Result<BufferedResponse, HttpError> {
+        let mut open = self.open(to, request, limit.first_byte).await?;
         let next = async || open.next_chunk().await.transpose();
-        let body = read_parts(limit, LARGE_ANSWER_LIMIT, next).await;
+        let body = read_chunks(limit, LARGE_RESPONSE_LIMIT, next).await;
         let body = body.map_err(|fault| match fault {
-            ArrivalFault::Stalled(_) => HttpFault::LateAfterSend,
-            ArrivalFault::TooLarge => HttpFault::TooLarge,
-            ArrivalFault::Broken(fault) => fault,
+            ReceiveError::Stalled(_) => HttpError::TimeoutAfterSend,
+            ReceiveError::TooLarge => HttpError::TooLarge,
+            ReceiveError::Transport(fault) => fault,
         })?;
         Ok(open.finish(body))
     }
@@ -224,10 +224,10 @@
         to: SocketAddr,
         request: HttpRequest,
         limit: Duration,
-    ) -> Result<HttpAnswer, HttpFault> {
+    ) -> Result<BufferedResponse, HttpError> {
         let mut open = self.open(to, request, limit).await?;
         let read = open.read_bounded(LARGE_BODY_LIMIT);
-        let body = within(limit, HttpFault::LateAfterSend, read).await?;
+        let body = within(limit, HttpError::TimeoutAfterSend, read).await?;
         Ok(open.finish(body))
     }
 
@@ -241,18 +241,18 @@
         to: SocketAddr,
         request: HttpRequest,
         limit: Duration,
-    ) -> Result<HttpStream<'_>, HttpFault> {
+    ) -> Result<HttpStream<'_>, HttpError> {
         let clock = SystemClock::new();
         let request = encode(request)?;
         let mut link = match self.take_idle(to) {
             Some(link) => link,
-            None => within(limit, HttpFault::LateBeforeSend, DrivenLink::open(to)).await?,
+            None => within(limit, HttpError::TimeoutBeforeSend, DrivenLink::open(to)).await?,
         };
         let left = limit.saturating_sub(clock.now());
         if left.is_zero() {
-            return Err(HttpFault::LateBeforeSend);
+            return Err(HttpError::TimeoutBeforeSend);
         }
-        let response = within(left, HttpFault::LateAfterSend, link.send(request)).await?;
+        let response = within(left, HttpError::TimeoutAfterSend, link.send(request)).await?;
         let (parts, body) = response.into_parts();
         Ok(HttpStream {
             status: parts.status.as_u16(),
@@ -287,7 +287,7 @@
 }
 
 /// Returns the request as the library sends it.
-fn encode(request: HttpRequest) -> Result<Request<Full<Bytes>>, HttpFault> {
+fn encode(request: HttpRequest) -> Result<Request<Full<Bytes>>, HttpError> {
     let mut builder = Request::builder().method(request.method).uri(request.path);
     let names_host = request.headers.iter().any(|(name, _)| name == "host");
     if !names_host {
@@ -297,10 +297,10 @@
         builder = builder.header(name, value);
     }
     let body = Full::new(Bytes::from(request.body));
-    builder.body(body).map_err(|_| HttpFault::NotConnected)
+    builder.body(body).map_err(|_| HttpError::NotConnected)
 }
 
-impl HttpAnswer {
+impl BufferedResponse {
     /// Returns a header's value by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(key, _)| key == name);
@@ -313,9 +313,9 @@
     ///
     /// # Errors
     ///
-    /// Returns [`HttpFault::Broken`] if the connection fails, [`HttpFault::TooLarge`] for a line
+    /// Returns [`HttpError::Disconnected`] if the connection fails, [`HttpError::TooLarge`] for a line
     /// over the bound.
-    pub async fn next_line(&mut self) -> Result<Option<String>, HttpFault> {
+    pub async fn next_line(&mut self) -> Result<Option<String>, HttpError> {
         loop {
             if let Some(end) = self.rest.iter().position(|byte| *byte == b'\n') {
                 let line = self.rest.split_to(end + 1);
@@ -323,13 +323,13 @@
                 return Ok(Some(line.into_owned()));
             }
             if self.rest.len() > LINE_LIMIT {
-                return Err(HttpFault::TooLarge);
+                return Err(HttpError::TooLarge);
             }
             match self.next_chunk().await {
                 Ok(Some(chunk)) => self.rest.extend_from_slice(&chunk),
                 Ok(None) if self.rest.is_empty() => return Ok(None),
-                Ok(None) => return Err(HttpFault::Truncated),
-                Err(_) => return Err(HttpFault::Broken),
+                Ok(None) => return Err(HttpError::Truncated),
+                Err(_) => return Err(HttpError::Disconnected),
             }
         }
     }
@@ -339,22 +339,22 @@
     /// # Errors
     ///
     /// Returns the fault that kept the body from being whole.
-    pub async fn read_body(&mut self) -> Result<Vec<u8>, HttpFault> {
+    pub async fn read_body(&mut self) -> Result<Vec<u8>, HttpError> {
         self.read_bounded(DEFAULT_BODY_LIMIT).await
     }
 
-    async fn read_bounded(&mut self, bound: usize) -> Result<Vec<u8>, HttpFault> {
+    async fn read_bounded(&mut self, bound: usize) -> Result<Vec<u8>, HttpError> {
         let mut body = std::mem::take(&mut self.rest).to_vec();
         while let Some(chunk) = self.next_chunk().await? {
             body.extend_from_slice(&chunk);
             if body.len() > bound {
-                return Err(HttpFault::TooLarge);
+                return Err(HttpError::TooLarge);
             }
         }
         Ok(body)
     }
 
-    async fn next_chunk(&mut self) -> Result<Option<Bytes>, HttpFault> {
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, HttpError> {
         loop {
             let frame = self.body.frame();
             let link = &mut self.link;
@@ -369,18 +369,18 @@
                 }
                 Some(Err(error)) => {
                     log::debug!("an answer broke off: {error}");
-                    return Err(HttpFault::Truncated);
+                    return Err(HttpError::Truncated);
                 }
             }
         }
     }
 
     /// Returns the answer with its whole body, and gives the connection back.
-    fn finish(self, body: Vec<u8>) -> HttpAnswer {
+    fn finish(self, body: Vec<u8>) -> BufferedResponse {
         let headers = self.headers();
         let status = self.status;
-        self.keep();
-        HttpAnswer {
+        self.recycle();
+        BufferedResponse {
             status,
             body,
             headers,
@@ -388,7 +388,7 @@
     }
 
     /// Gives the connection back for reuse. To be called only after the body's end was read.
-    pub fn keep(self) {
+    pub fn recycle(self) {
         let connection = self.parts.headers.get(http::header::CONNECTION);
         let closes = connection.is_some_and(|value| value.as_bytes() == b"close");
         if !closes && !self.link.is_done {
@@ -410,9 +410,9 @@
 /// Runs a step under a time limit.
 async fn within<T>(
     limit: Duration,
-    late: HttpFault,
-    step: impl Future<Output = Result<T, HttpFault>>,
-) -> Result<T, HttpFault> {
+    late: HttpError,
+    step: impl Future<Output = Result<T, HttpError>>,
+) -> Result<T, HttpError> {
     let timer = async {
         Timer::after(limit).await;
         Err(late)
--- a/packages/turnford-http/src/lib.rs
+++ b/packages/turnford-http/src/lib.rs
@@ -12,28 +12,28 @@
 mod shelf;
 mod stream;
 
-pub use arrival::read_parts;
-pub use arrival::AnswerLimit;
-pub use arrival::ArrivalCount;
-pub use arrival::ArrivalFault;
-pub use arrival::ArrivalGuard;
-pub use client::HttpAnswer;
+pub use arrival::read_chunks;
+pub use arrival::ReceiveCounter;
+pub use arrival::ReceiveError;
+pub use arrival::ReceiveGuard;
+pub use arrival::ResponseTimeouts;
+pub use client::BufferedResponse;
 pub use client::HttpClient;
 pub use client::HttpStream;
-pub use fault::HttpFault;
-pub use link::HttpLink;
-pub use link_state::LinkLimits;
-pub use listen::serve_link;
+pub use fault::HttpError;
+pub use link::HttpConnection;
+pub use link_state::ConnectionLimits;
+pub use listen::serve_client;
 pub use message::HttpBody;
 pub use message::HttpRequest;
 pub use message::HttpResponse;
 pub use server::bind_listener;
 pub use server::serve_connection;
-pub use server::HttpCall;
-pub use shelf::LinkShelf;
+pub use server::BufferedRequest;
+pub use shelf::ConnectionPool;
+pub use stream::configure_stream;
 pub use stream::open_stream;
 pub use stream::probe_port;
-pub use stream::watch_stream;
 pub use stream::PortState;
 
 /// Largest head plus body that a client or server of this package accepts unless told otherwise,
@@ -42,4 +42,4 @@
 
 /// Largest answer of the platform that holds several values, in bytes: eight of the largest, a
 /// twentieth of a VM's memory.
-pub const LARGE_ANSWER_LIMIT: usize = 8 * 1024 * 1024;
+pub const LARGE_RESPONSE_LIMIT: usize = 8 * 1024 * 1024;
--- a/packages/turnford-http/src/link.rs
+++ b/packages/turnford-http/src/link.rs
@@ -16,38 +16,38 @@
 use smol_hyper::rt::FuturesIo;
 
 use crate::open_stream;
-use crate::HttpFault;
+use crate::HttpError;
 
 /// A connection that takes one request at a time.
 #[derive(Debug)]
-pub struct HttpLink {
+pub struct HttpConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
 }
 
-impl HttpLink {
+impl HttpConnection {
     /// Opens a connection; `executor` drives it until it ends.
     ///
     /// # Errors
     ///
-    /// Returns [`HttpFault::NotConnected`] if there is none within `limit`.
+    /// Returns [`HttpError::NotConnected`] if there is none within `limit`.
     pub async fn open(
         executor: &LocalExecutor<'_>,
         address: SocketAddr,
         limit: Duration,
-    ) -> Result<Self, HttpFault> {
+    ) -> Result<Self, HttpError> {
         let connect = async { open_stream(address).await.ok() };
         let late = async {
             Timer::after(limit).await;
             None
         };
-        let stream = connect.or(late).await.ok_or(HttpFault::NotConnected)?;
+        let stream = connect.or(late).await.ok_or(HttpError::NotConnected)?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(LINK_BUFFER);
         let (sender, connection) = builder
             .handshake(FuturesIo::new(stream))
             .await
-            .map_err(|_| HttpFault::NotConnected)?;
+            .map_err(|_| HttpError::NotConnected)?;
         let drive = async move {
             // Its end shows in the exchange that uses it.
             if let Err(error) = connection.await {
@@ -77,19 +77,19 @@
     ///
     /// # Errors
     ///
-    /// Returns [`HttpFault::NotConnected`] if no byte of the request was handed over, and
-    /// [`HttpFault::Broken`] if it was and no answer came.
+    /// Returns [`HttpError::NotConnected`] if no byte of the request was handed over, and
+    /// [`HttpError::Disconnected`] if it was and no answer came.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, HttpFault> {
+    ) -> Result<Response<Incoming>, HttpError> {
         if self.sender.ready().await.is_err() {
-            return Err(HttpFault::NotConnected);
+            return Err(HttpError::NotConnected);
         }
         let sent = self.sender.try_send_request(request).await;
         sent.map_err(|mut error| match error.take_message() {
-            Some(_) => HttpFault::NotConnected,
-            None => HttpFault::Broken,
+            Some(_) => HttpError::NotConnected,
+            None => HttpError::Disconnected,
         })
     }
 }
--- a/packages/turnford-http/src/link_state.rs
+++ b/packages/turnford-http/src/link_state.rs
@@ -19,13 +19,13 @@
 
 /// How long a client may take on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LinkLimits {
+pub struct ConnectionLimits {
     /// Largest head, in bytes.
-    pub head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest time for a head to arrive.
-    pub head_span: Duration,
+    pub header_timeout: Duration,
     /// Longest rest between two requests.
-    pub idle_span: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What a connection does.
@@ -96,7 +96,7 @@
     set_for: Option<u64>,
 }
 
-impl<L: Fn() -> LinkLimits> LinkTimer<L> {
+impl<L: Fn() -> ConnectionLimits> LinkTimer<L> {
     pub(crate) fn new(state: Rc<LinkState>, limits: L) -> Self {
         Self {
             state,
@@ -114,8 +114,8 @@
             self.set_for = Some(change);
             let limits = (self.limits)();
             self.timer = match phase {
-                LinkPhase::Idle => Some(Timer::after(limits.idle_span)),
-                LinkPhase::Head => Some(Timer::after(limits.head_span)),
+                LinkPhase::Idle => Some(Timer::after(limits.idle_timeout)),
+                LinkPhase::Head => Some(Timer::after(limits.header_timeout)),
                 LinkPhase::Busy => None,
             };
         }
--- a/packages/turnford-http/src/listen.rs
+++ b/packages/turnford-http/src/listen.rs
@@ -17,8 +17,8 @@
 use hyper::service::service_fn;
 use smol_hyper::rt::FuturesIo;
 
+use crate::link_state::ConnectionLimits;
 use crate::link_state::GuardedBody;
-use crate::link_state::LinkLimits;
 use crate::link_state::LinkPhase;
 use crate::link_state::LinkState;
 use crate::link_state::LinkTimer;
@@ -34,13 +34,13 @@
 /// whole. Once `closing` ends, the connection closes after the answer under way, or at once where
 /// it rests. One that rests for too long, or on which a head takes too long, is closed; `limits` is asked
 /// anew for each request.
-pub async fn serve_link<L, F, Fut, B>(
+pub async fn serve_client<L, F, Fut, B>(
     stream: TcpStream,
     limits: L,
     closing: Receiver<()>,
     handler: Rc<F>,
 ) where
-    L: Fn() -> LinkLimits,
+    L: Fn() -> ConnectionLimits,
     F: Fn(Request<Incoming>) -> Fut + 'static,
     Fut: Future<Output = Response<B>> + 'static,
     B: Body + 'static,
@@ -61,7 +61,7 @@
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits().head_bytes.max(LEAST_BUFFER));
+    builder.max_buf_size(limits().max_header_bytes.max(LEAST_BUFFER));
     builder.auto_date_header(false);
     let stream = NotedStream::new(stream, state.clone());
     let connection = builder.serve_connection(FuturesIo::new(stream), service);
--- a/packages/turnford-http/src/message.rs
+++ b/packages/turnford-http/src/message.rs
@@ -70,7 +70,7 @@
         Self {
             status,
             headers: Vec::new(),
-            body: HttpBody::Whole(Bytes::new()),
+            body: HttpBody::Full(Bytes::new()),
         }
     }
 
@@ -98,11 +98,11 @@
 /// Body of an answer.
 pub enum HttpBody {
     /// All bytes are there.
-    Whole(Bytes),
+    Full(Bytes),
     /// Bytes come as they are made; their number is not known.
     Stream(ChunkStream),
     /// Some bytes, then the connection breaks off; for tests of those who read.
-    Cut(Option<Bytes>, Timer),
+    Truncated(Option<Bytes>, Timer),
 }
 
 impl HttpBody {
@@ -112,31 +112,31 @@
     }
 
     /// Makes a body that breaks off after some bytes.
-    pub fn cut(bytes: impl Into<Vec<u8>>) -> Self {
+    pub fn truncated(bytes: impl Into<Vec<u8>>) -> Self {
         let bytes = Bytes::from(bytes.into());
-        HttpBody::Cut(Some(bytes), Timer::after(CUT_PAUSE))
+        HttpBody::Truncated(Some(bytes), Timer::after(CUT_PAUSE))
     }
 }
 
 impl fmt::Debug for HttpBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HttpBody::Whole(bytes) => write!(f, "Whole({} bytes)", bytes.len()),
+            HttpBody::Full(bytes) => write!(f, "Whole({} bytes)", bytes.len()),
             HttpBody::Stream(_) => f.write_str("Stream"),
-            HttpBody::Cut(..) => f.write_str("Cut"),
+            HttpBody::Truncated(..) => f.write_str("Cut"),
         }
     }
 }
 
 impl From<String> for HttpBody {
     fn from(text: String) -> Self {
-        HttpBody::Whole(Bytes::from(text))
+        HttpBody::Full(Bytes::from(text))
     }
 }
 
 impl From<Vec<u8>> for HttpBody {
     fn from(bytes: Vec<u8>) -> Self {
-        HttpBody::Whole(Bytes::from(bytes))
+        HttpBody::Full(Bytes::from(bytes))
     }
 }
 
@@ -149,7 +149,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match self.get_mut() {
-            HttpBody::Whole(bytes) => {
+            HttpBody::Full(bytes) => {
                 let bytes = std::mem::take(bytes);
                 let frame = (!bytes.is_empty()).then(|| Ok(Frame::data(bytes)));
                 Poll::Ready(frame)
@@ -158,7 +158,7 @@
                 let chunk = chunks.as_mut().poll_next(context);
                 chunk.map(|chunk| chunk.map(|bytes| Ok(Frame::data(Bytes::from(bytes)))))
             }
-            HttpBody::Cut(bytes, pause) => match bytes.take() {
+            HttpBody::Truncated(bytes, pause) => match bytes.take() {
                 Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
                 None => Pin::new(pause)
                     .poll(context)
@@ -168,13 +168,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, HttpBody::Whole(bytes) if bytes.is_empty())
+        matches!(self, HttpBody::Full(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            HttpBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            HttpBody::Stream(_) | HttpBody::Cut(..) => SizeHint::default(),
+            HttpBody::Full(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            HttpBody::Stream(_) | HttpBody::Truncated(..) => SizeHint::default(),
         }
     }
 }
--- a/packages/turnford-http/src/server.rs
+++ b/packages/turnford-http/src/server.rs
@@ -23,7 +23,7 @@
 
 /// One call with its whole body.
 #[derive(Clone, Debug)]
-pub struct HttpCall {
+pub struct BufferedRequest {
     /// Method in upper case, for example `POST`.
     pub method: String,
     /// Path without the query.
@@ -34,7 +34,7 @@
     headers: Vec<(String, String)>,
 }
 
-impl HttpCall {
+impl BufferedRequest {
     /// Returns a header's value by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         lookup(&self.headers, name)
@@ -71,7 +71,7 @@
 /// closes the connection without an answer.
 pub async fn serve_connection<F, Fut>(stream: TcpStream, body_limit: usize, handler: F)
 where
-    F: Fn(HttpCall) -> Fut,
+    F: Fn(BufferedRequest) -> Fut,
     Fut: Future<Output = Option<HttpResponse>>,
 {
     if let Err(error) = stream.set_nodelay(true) {
@@ -93,7 +93,7 @@
     handler: &F,
 ) -> io::Result<Response<HttpBody>>
 where
-    F: Fn(HttpCall) -> Fut,
+    F: Fn(BufferedRequest) -> Fut,
     Fut: Future<Output = Option<HttpResponse>>,
 {
     let Some(call) = read_call(request, body_limit).await else {
@@ -119,7 +119,7 @@
     Ok(response)
 }
 
-async fn read_call(request: Request<Incoming>, body_limit: usize) -> Option<HttpCall> {
+async fn read_call(request: Request<Incoming>, body_limit: usize) -> Option<BufferedRequest> {
     let (parts, body) = request.into_parts();
     let body = Limited::new(body, body_limit).collect().await.ok()?;
     let query = parts.uri.query().unwrap_or("");
@@ -128,7 +128,7 @@
         let value = value.to_str().ok()?;
         Some((name.as_str().to_owned(), value.to_owned()))
     });
-    Some(HttpCall {
+    Some(BufferedRequest {
         method: parts.method.to_string(),
         path: parts.uri.path().to_owned(),
         body: body.to_bytes().to_vec(),
--- a/packages/turnford-http/src/shelf.rs
+++ b/packages/turnford-http/src/shelf.rs
@@ -6,7 +6,7 @@
 
 use turnford_policy::Moment;
 
-use crate::HttpLink;
+use crate::HttpConnection;
 
 /// Most idle connections kept to one address.
 const IDLE_LIMIT: usize = 32;
@@ -14,7 +14,7 @@
 /// A connection at rest.
 #[derive(Debug)]
 struct IdleLink {
-    link: HttpLink,
+    link: HttpConnection,
     since: Moment,
     /// Rest after which the other side may close it.
     keep: Duration,
@@ -22,11 +22,11 @@
 
 /// The idle connections of one thread.
 #[derive(Debug, Default)]
-pub struct LinkShelf {
+pub struct ConnectionPool {
     idle: HashMap<SocketAddr, Vec<IdleLink>>,
 }
 
-impl LinkShelf {
+impl ConnectionPool {
     /// Takes a connection that is sure to be open, if one rests here.
     ///
     /// `rest_limit` is the longest rest that the caller accepts, beside that of the other side.
@@ -35,7 +35,7 @@
         now: Moment,
         address: SocketAddr,
         rest_limit: Duration,
-    ) -> Option<HttpLink> {
+    ) -> Option<HttpConnection> {
         let links = self.idle.get_mut(&address)?;
         links.retain(|idle| !idle.link.is_closed() && now.saturating_sub(idle.since) < idle.keep);
         // The one used last is the least likely to be closed by the other side.
@@ -47,7 +47,7 @@
     }
 
     /// Lays a connection down for at most `keep`.
-    pub fn put(&mut self, now: Moment, link: HttpLink, keep: Duration) {
+    pub fn put(&mut self, now: Moment, link: HttpConnection, keep: Duration) {
         if link.is_closed() || keep.is_zero() {
             return;
         }
@@ -63,12 +63,12 @@
     }
 
     /// Closes the connections to an address.
-    pub fn forget(&mut self, address: SocketAddr) {
+    pub fn close_all(&mut self, address: SocketAddr) {
         self.idle.remove(&address);
     }
 
     /// Closes the connections whose time is over.
-    pub fn sweep(&mut self, now: Moment) {
+    pub fn close_expired(&mut self, now: Moment) {
         for links in self.idle.values_mut() {
             links.retain(|idle| {
                 !idle.link.is_closed() && now.saturating_sub(idle.since) < idle.keep
--- a/packages/turnford-http/src/stream.rs
+++ b/packages/turnford-http/src/stream.rs
@@ -35,7 +35,7 @@
     /// The machine is there and nobody takes connections.
     Refused,
     /// Nothing is known: no answer within the limit, or no way there.
-    Silent,
+    Unreachable,
 }
 
 /// Asks whether anybody takes connections at an address; nothing is sent on the one that it opens.
@@ -48,7 +48,7 @@
     match connect.or(late).await {
         Some(Ok(_)) => PortState::Open,
         Some(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => PortState::Refused,
-        Some(Err(_)) | None => PortState::Silent,
+        Some(Err(_)) | None => PortState::Unreachable,
     }
 }
 
@@ -59,7 +59,7 @@
 /// Returns the system's error if there is no connection or it can't be set up.
 pub async fn open_stream(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
-    watch_stream(&stream)?;
+    configure_stream(&stream)?;
     Ok(stream)
 }
 
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// Returns the system's error if the connection can't be set up.
-pub fn watch_stream(stream: &TcpStream) -> io::Result<()> {
+pub fn configure_stream(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     set_socket_keepalive(stream, true)?;
     set_tcp_keepidle(stream, PROBE_IDLE)?;
--- a/packages/turnford-http/tests/kept_connections.rs
+++ b/packages/turnford-http/tests/kept_connections.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use http::Method;
-use turnford_http::HttpAnswer;
+use turnford_http::BufferedResponse;
 use turnford_http::HttpClient;
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 
 const LIMIT: Duration = Duration::from_secs(10);
 
@@ -48,7 +48,11 @@
     }
 }
 
-fn call(client: &HttpClient, to: SocketAddr, limit: Duration) -> Result<HttpAnswer, HttpFault> {
+fn call(
+    client: &HttpClient,
+    to: SocketAddr,
+    limit: Duration,
+) -> Result<BufferedResponse, HttpError> {
     let request = HttpClient::request(Method::GET, to, "/")?;
     async_io::block_on(client.send(to, request, limit))
 }
@@ -106,7 +110,7 @@
 fn cut_answer() {
     let (address, _connections) = serve(vec!["HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\nhalf"]);
     let answer = call(&HttpClient::new(), address, LIMIT);
-    assert_eq!(answer.map(|answer| answer.body), Err(HttpFault::Truncated));
+    assert_eq!(answer.map(|answer| answer.body), Err(HttpError::Truncated));
 }
 
 #[test]
@@ -118,7 +122,7 @@
     let fault = answer
         .map(|answer| answer.status)
         .expect_err("nobody listens");
-    assert_eq!((fault, fault.was_sent()), (HttpFault::NotConnected, false));
+    assert_eq!((fault, fault.was_sent()), (HttpError::NotConnected, false));
 }
 
 #[test]
@@ -129,5 +133,8 @@
     let fault = answer
         .map(|answer| answer.status)
         .expect_err("nobody answers");
-    assert_eq!((fault, fault.was_sent()), (HttpFault::LateAfterSend, true));
+    assert_eq!(
+        (fault, fault.was_sent()),
+        (HttpError::TimeoutAfterSend, true)
+    );
 }
--- a/packages/turnford-http/tests/large_answers.rs
+++ b/packages/turnford-http/tests/large_answers.rs
@@ -8,17 +8,17 @@
 use http::StatusCode;
 use turnford_http::bind_listener;
 use turnford_http::serve_connection;
-use turnford_http::AnswerLimit;
-use turnford_http::HttpAnswer;
+use turnford_http::BufferedResponse;
 use turnford_http::HttpClient;
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 use turnford_http::HttpResponse;
+use turnford_http::ResponseTimeouts;
 use turnford_standin::start_threads;
 use turnford_standin::LinkProxy;
 use turnford_standin::LinkState;
 
 /// Time in which an answer has to begin.
-const LIMIT: AnswerLimit = AnswerLimit::new(Duration::from_millis(300));
+const LIMIT: ResponseTimeouts = ResponseTimeouts::new(Duration::from_millis(300));
 
 /// Bytes of a large answer.
 const SIZE: usize = 300_000;
@@ -27,7 +27,7 @@
 const RATE: u32 = 200_000;
 
 /// Serves large answers behind a proxy and asks for one.
-fn fetch_through(harm: impl FnOnce(LinkProxy)) -> Result<HttpAnswer, HttpFault> {
+fn fetch_through(harm: impl FnOnce(LinkProxy)) -> Result<BufferedResponse, HttpError> {
     let executor = start_threads("standin", 2);
     let listener = bind_listener(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -56,7 +56,7 @@
     let begun = Instant::now();
     let answer = fetch_through(|_| {}).expect("an answer");
     assert_eq!(answer.body.len(), SIZE);
-    assert!(begun.elapsed() > LIMIT.begin, "the link is slow");
+    assert!(begun.elapsed() > LIMIT.first_byte, "the link is slow");
 }
 
 #[test]
@@ -68,6 +68,6 @@
             link.set(LinkState::Silent);
         });
     });
-    assert_eq!(answer.err(), Some(HttpFault::LateAfterSend));
+    assert_eq!(answer.err(), Some(HttpError::TimeoutAfterSend));
     assert!(begun.elapsed() < Duration::from_secs(3), "given up soon");
 }
--- a/packages/turnford-http/tests/library_findings.rs
+++ b/packages/turnford-http/tests/library_findings.rs
@@ -20,9 +20,9 @@
 use http_body_util::BodyExt;
 use http_body_util::Full;
 use turnford_http::bind_listener;
-use turnford_http::serve_link;
-use turnford_http::HttpLink;
-use turnford_http::LinkLimits;
+use turnford_http::serve_client;
+use turnford_http::ConnectionLimits;
+use turnford_http::HttpConnection;
 
 const LIMIT: Duration = Duration::from_secs(5);
 
@@ -43,7 +43,7 @@
 fn read_answer(to: SocketAddr) -> Option<Bytes> {
     let executor = LocalExecutor::new();
     async_io::block_on(executor.run(async {
-        let mut link = HttpLink::open(&executor, to, LIMIT)
+        let mut link = HttpConnection::open(&executor, to, LIMIT)
             .await
             .expect("a connection");
         let request = Request::builder().uri("/").header("host", "h");
@@ -73,7 +73,7 @@
     let address = serve_once(both);
     let executor = LocalExecutor::new();
     async_io::block_on(executor.run(async {
-        let mut link = HttpLink::open(&executor, address, LIMIT)
+        let mut link = HttpConnection::open(&executor, address, LIMIT)
             .await
             .expect("a connection");
         let request = || {
@@ -117,12 +117,12 @@
                     Response::new(Full::new(Bytes::new()))
                 }
             });
-            let limits = || LinkLimits {
-                head_bytes: 8192,
-                head_span: Duration::from_secs(60),
-                idle_span: Duration::from_secs(60),
+            let limits = || ConnectionLimits {
+                max_header_bytes: 8192,
+                header_timeout: Duration::from_secs(60),
+                idle_timeout: Duration::from_secs(60),
             };
-            serve_link(stream, limits, closing, handler).await;
+            serve_client(stream, limits, closing, handler).await;
         });
     });
     let mut stream = TcpStream::connect(address).expect("a connection");
--- a/packages/turnford-http/tests/silent_connections.rs
+++ b/packages/turnford-http/tests/silent_connections.rs
@@ -8,8 +8,8 @@
 use rustix::net::sockopt::socket_keepalive;
 use rustix::net::sockopt::tcp_keepidle;
 use rustix::net::sockopt::tcp_user_timeout;
+use turnford_http::configure_stream;
 use turnford_http::open_stream;
-use turnford_http::watch_stream;
 
 /// Time in which a silent connection has to be found out.
 const BOUND: Duration = Duration::from_secs(5);
@@ -21,7 +21,7 @@
         let address = listener.local_addr().expect("an address");
         let opened = open_stream(address).await.expect("a connection");
         let (accepted, _) = listener.accept().await.expect("a connection");
-        watch_stream(&accepted).expect("a sound connection");
+        configure_stream(&accepted).expect("a sound connection");
         for stream in [&opened, &accepted] {
             assert!(stream.nodelay().expect("an option"));
             assert!(socket_keepalive(stream).expect("an option"));
--- a/packages/turnford-http/tests/slow_heads.rs
+++ b/packages/turnford-http/tests/slow_heads.rs
@@ -15,8 +15,8 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use turnford_http::bind_listener;
-use turnford_http::serve_link;
-use turnford_http::LinkLimits;
+use turnford_http::serve_client;
+use turnford_http::ConnectionLimits;
 
 const HEAD_SPAN: Duration = Duration::from_millis(300);
 
@@ -44,12 +44,12 @@
                 }
                 Response::new(Full::new(Bytes::from_static(b"done")))
             });
-            let limits = || LinkLimits {
-                head_bytes: 8192,
-                head_span: HEAD_SPAN,
-                idle_span: IDLE_SPAN,
+            let limits = || ConnectionLimits {
+                max_header_bytes: 8192,
+                header_timeout: HEAD_SPAN,
+                idle_timeout: IDLE_SPAN,
             };
-            serve_link(stream, limits, closing, handler).await;
+            serve_client(stream, limits, closing, handler).await;
         });
     });
     let stream = TcpStream::connect(address).expect("a connection");
--- a/packages/turnford-node/examples/capacity.rs
+++ b/packages/turnford-node/examples/capacity.rs
@@ -143,14 +143,14 @@
             let gossip = table.take_gossip("");
             let ping = PeerRequest::Ping {
                 gossip,
-                mark: view.mark(),
+                digest: view.mark(),
                 members: table.checksum(),
             };
             let frame = encode_request(&ping).unwrap_or_default();
             let back = table.take_gossip("");
             let pong = PeerReply::Pong {
                 gossip: back,
-                mark: view.mark(),
+                digest: view.mark(),
                 members: table.checksum(),
             };
             let answer = encode_reply(&pong).unwrap_or_default();
--- a/packages/turnford-node/src/admit.rs
+++ b/packages/turnford-node/src/admit.rs
@@ -10,7 +10,7 @@
 use turnford_config::PipelineTemplate;
 use turnford_config::StageSpec;
 use turnford_config::TemplateParameters;
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_policy::plan_admission;
 use turnford_policy::AdmissionPlan;
 use turnford_policy::AttemptId;
@@ -92,7 +92,7 @@
 /// Admits a call, or says why not. A refusal here has started nothing.
 pub(crate) fn admit_call(
     state: &Arc<NodeState>,
-    call: &HttpCall,
+    call: &BufferedRequest,
     trace: AttemptId,
 ) -> Result<AdmittedRequest, RequestEnd> {
     check_node(state)?;
@@ -151,17 +151,17 @@
 }
 
 /// Returns the account whose key a call carries.
-pub(crate) fn account_of(state: &NodeState, call: &HttpCall) -> Option<Arc<ClientAccount>> {
+pub(crate) fn account_of(state: &NodeState, call: &BufferedRequest) -> Option<Arc<ClientAccount>> {
     find_account(&state.config.load(), call)
 }
 
-fn find_account(config: &ConfigSnapshot, call: &HttpCall) -> Option<Arc<ClientAccount>> {
+fn find_account(config: &ConfigSnapshot, call: &BufferedRequest) -> Option<Arc<ClientAccount>> {
     let header = call.header("authorization").unwrap_or("");
     let key = header.strip_prefix("Bearer ").unwrap_or("");
     config.accounts.get(&hash_key(key)).cloned()
 }
 
-fn read_request_id(call: &HttpCall) -> Result<Option<String>, RequestEnd> {
+fn read_request_id(call: &BufferedRequest) -> Result<Option<String>, RequestEnd> {
     let Some(id) = call.header("turnford-request-id") else {
         return Ok(None);
     };
@@ -173,7 +173,7 @@
     Ok(Some(id.to_owned()))
 }
 
-fn read_deadline(call: &HttpCall) -> Result<Option<Duration>, RequestEnd> {
+fn read_deadline(call: &BufferedRequest) -> Result<Option<Duration>, RequestEnd> {
     let Some(text) = call.header("turnford-deadline-ms") else {
         return Ok(None);
     };
--- a/packages/turnford-node/src/control/claims.rs
+++ b/packages/turnford-node/src/control/claims.rs
@@ -16,7 +16,7 @@
 use turnford_fleet::RangeRead;
 use turnford_fleet::RangeWrite;
 use turnford_fleet::RANGE_COUNT;
-use turnford_platform::PlatformFault;
+use turnford_platform::PlatformError;
 use turnford_platform::VersionGuard;
 use turnford_wire::PeerReply;
 use turnford_wire::PeerRequest;
@@ -141,7 +141,7 @@
         ClaimAction::Read => {
             let read = match context.objects.get(&key).await {
                 Ok(value) => RangeRead::Found(value.version, value.bytes),
-                Err(PlatformFault::Absent) => RangeRead::Found(0, Vec::new()),
+                Err(PlatformError::NotFound) => RangeRead::Found(0, Vec::new()),
                 Err(_) => RangeRead::Failed,
             };
             let now = context.now();
@@ -151,7 +151,7 @@
             let guard = VersionGuard::from_version(expected);
             let write = match context.objects.put(&key, guard, bytes).await {
                 Ok(version) => RangeWrite::Accepted(version),
-                Err(PlatformFault::Conflict { .. }) => RangeWrite::Conflict,
+                Err(PlatformError::Conflict { .. }) => RangeWrite::Conflict,
                 Err(fault) if fault.may_have_written() => RangeWrite::Lost,
                 Err(_) => RangeWrite::Refused,
             };
--- a/packages/turnford-node/src/control/config.rs
+++ b/packages/turnford-node/src/control/config.rs
@@ -13,7 +13,7 @@
 use turnford_fleet::Duty;
 use turnford_fleet::Rumor;
 use turnford_platform::ObjectList;
-use turnford_platform::PlatformFault;
+use turnford_platform::PlatformError;
 use turnford_wire::PeerReply;
 use turnford_wire::PeerRequest;
 
@@ -81,7 +81,7 @@
             }
             Err(fault) => {
                 log::warn!("configuration can't be read: {fault}");
-                listed = listed && fault != PlatformFault::HistoryGone;
+                listed = listed && fault != PlatformError::HistoryExpired;
                 Timer::after(context.jitter(pause)).await;
                 pause = (pause * 2).min(LONGEST_PAUSE);
             }
--- a/packages/turnford-node/src/control/leases.rs
+++ b/packages/turnford-node/src/control/leases.rs
@@ -8,7 +8,7 @@
 use turnford_fleet::LeaseAnswer;
 use turnford_fleet::LeaseHolder;
 use turnford_fleet::LeaseRecord;
-use turnford_platform::PlatformFault;
+use turnford_platform::PlatformError;
 use turnford_platform::VersionGuard;
 
 use super::context::ControlContext;
@@ -41,7 +41,7 @@
                 Ok(record) => LeaseAnswer::Found(Some((value.version, record))),
                 Err(_) => LeaseAnswer::Failed,
             },
-            Err(PlatformFault::Absent) => LeaseAnswer::Found(None),
+            Err(PlatformError::NotFound) => LeaseAnswer::Found(None),
             Err(_) => LeaseAnswer::Failed,
         },
         LeaseAction::Write { expected, record } => {
@@ -49,7 +49,7 @@
             let bytes = serde_json::to_vec(&record).unwrap_or_default();
             match context.objects.put(key, guard, bytes).await {
                 Ok(version) => LeaseAnswer::Accepted(version),
-                Err(PlatformFault::Conflict { .. }) => LeaseAnswer::Conflict,
+                Err(PlatformError::Conflict { .. }) => LeaseAnswer::Conflict,
                 Err(_) => LeaseAnswer::Failed,
             }
         }
--- a/packages/turnford-node/src/control/members.rs
+++ b/packages/turnford-node/src/control/members.rs
@@ -13,7 +13,7 @@
 use turnford_fleet::MemberUpdate;
 use turnford_fleet::ProbePlan;
 use turnford_platform::ObjectList;
-use turnford_platform::PlatformFault;
+use turnford_platform::PlatformError;
 use turnford_platform::VersionGuard;
 use turnford_wire::PeerReply;
 use turnford_wire::PeerRequest;
@@ -96,7 +96,7 @@
     let mut members = context.members.borrow_mut();
     PeerRequest::Ping {
         gossip: members.take_gossip(to),
-        mark: context.view.borrow().mark(),
+        digest: context.view.borrow().mark(),
         members: members.checksum(),
     }
 }
@@ -116,7 +116,7 @@
     let mut members = context.members.borrow_mut();
     PeerReply::Pong {
         gossip: members.take_gossip(to),
-        mark: context.view.borrow().mark(),
+        digest: context.view.borrow().mark(),
         members: members.checksum(),
     }
 }
@@ -200,7 +200,7 @@
     let reply = context.peers.call(address, &request, PROBE_LIMIT).await;
     let Ok(PeerReply::Pong {
         gossip,
-        mark,
+        digest: mark,
         members,
     }) = reply
     else {
@@ -264,7 +264,7 @@
     context.settled.set(true);
 }
 
-async fn try_register(context: &Rc<ControlContext>) -> Result<(), PlatformFault> {
+async fn try_register(context: &Rc<ControlContext>) -> Result<(), PlatformError> {
     let settings = &context.state.settings;
     let key = format!("{NODE_PREFIX}{}", settings.name);
     let list = context.objects.list(NODE_PREFIX).await?;
@@ -276,7 +276,7 @@
         address: settings.inner,
         hall: settings.hall.to_string(),
     };
-    let bytes = serde_json::to_vec(&record).map_err(|_| PlatformFault::Invalid)?;
+    let bytes = serde_json::to_vec(&record).map_err(|_| PlatformError::Malformed)?;
     context
         .objects
         .put(&key, VersionGuard::from_version(version), bytes)
--- a/packages/turnford-node/src/control/orders.rs
+++ b/packages/turnford-node/src/control/orders.rs
@@ -17,7 +17,7 @@
 use turnford_fleet::OrderKind;
 use turnford_fleet::OrderRecord;
 use turnford_fleet::TargetOrder;
-use turnford_platform::PlatformFault;
+use turnford_platform::PlatformError;
 use turnford_platform::VersionGuard;
 use turnford_policy::ServiceId;
 
@@ -178,7 +178,7 @@
             let bytes = serde_json::to_vec(&record).unwrap_or_default();
             match context.objects.put(&key, guard, bytes).await {
                 Ok(version) => OrderAnswer::Accepted(version),
-                Err(PlatformFault::Unavailable | PlatformFault::OverBudget) => OrderAnswer::Failed,
+                Err(PlatformError::Unavailable | PlatformError::OverBudget) => OrderAnswer::Failed,
                 Err(_) => OrderAnswer::Reread,
             }
         }
@@ -194,7 +194,7 @@
             Ok(record) => OrderAnswer::Found(Some((value.version, record))),
             Err(_) => OrderAnswer::Failed,
         },
-        Err(PlatformFault::Absent) => OrderAnswer::Found(None),
+        Err(PlatformError::NotFound) => OrderAnswer::Found(None),
         Err(_) => OrderAnswer::Failed,
     }
 }
--- a/packages/turnford-node/src/control/peers.rs
+++ b/packages/turnford-node/src/control/peers.rs
@@ -4,7 +4,7 @@
 
 use async_net::TcpListener;
 use turnford_wire::accept_peers;
-use turnford_wire::GivenUpCall;
+use turnford_wire::CancelPolicy;
 use turnford_wire::PeerReply;
 use turnford_wire::PeerRequest;
 
@@ -15,25 +15,27 @@
     let executor = context.executor.clone();
     let handler = move |request| answer(context.clone(), request);
     let refusal = || PeerReply::Refused;
-    accept_peers(listener, executor, GivenUpCall::Finished, refusal, handler).await;
+    accept_peers(listener, executor, CancelPolicy::Finish, refusal, handler).await;
 }
 
 async fn answer(context: Rc<ControlContext>, request: PeerRequest) -> PeerReply {
     match request {
-        PeerRequest::Ping { gossip, mark, .. } => {
-            super::members::answer_ping(&context, gossip, mark)
-        }
+        PeerRequest::Ping {
+            gossip,
+            digest: mark,
+            ..
+        } => super::members::answer_ping(&context, gossip, mark),
         PeerRequest::PingVia { target } => super::members::answer_ping_via(&context, target).await,
         PeerRequest::MemberPull { after } => super::members::answer_member_pull(&context, &after),
         PeerRequest::ConfigPull { after } => super::config::answer_pull(&context, after),
         PeerRequest::Rumors(rumors) => {
             super::rumors::take_rumors(&context, rumors);
-            PeerReply::Noted
+            PeerReply::Ack
         }
         PeerRequest::Digest { node, digest } => {
             let now = context.now();
             context.digests.borrow_mut().apply(now, &node, digest);
-            PeerReply::Noted
+            PeerReply::Ack
         }
         PeerRequest::Claim(ask) => super::claims::answer_claim(&context, ask).await,
         PeerRequest::Share {
--- a/packages/turnford-node/src/entry.rs
+++ b/packages/turnford-node/src/entry.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use http::StatusCode;
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 use turnford_policy::AttemptId;
 use turnford_policy::ResultCode;
@@ -19,7 +19,10 @@
 use crate::stream::stream_request;
 
 /// Answers one call.
-pub(crate) async fn handle_call(state: Arc<NodeState>, call: HttpCall) -> Option<HttpResponse> {
+pub(crate) async fn handle_call(
+    state: Arc<NodeState>,
+    call: BufferedRequest,
+) -> Option<HttpResponse> {
     let path = call.path.clone();
     let response = match (call.method.as_str(), path.as_str()) {
         ("POST", path) if path.starts_with("/v1/pipelines/") => run_pipeline(&state, call).await,
@@ -33,7 +36,7 @@
     Some(response)
 }
 
-async fn run_pipeline(state: &Arc<NodeState>, call: HttpCall) -> HttpResponse {
+async fn run_pipeline(state: &Arc<NodeState>, call: BufferedRequest) -> HttpResponse {
     let trace = state.attempts.next_request();
     let accept = call.header("accept").unwrap_or("");
     let streams = accept.contains("text/event-stream");
@@ -50,7 +53,7 @@
 /// Admits a call. Where this node's share of a limit is used up, a larger one is asked for first.
 async fn admit_with_share(
     state: &Arc<NodeState>,
-    call: &HttpCall,
+    call: &BufferedRequest,
     trace: AttemptId,
 ) -> Result<AdmittedRequest, RequestEnd> {
     let end = match admit_call(state, call, trace) {
--- a/packages/turnford-node/src/stage.rs
+++ b/packages/turnford-node/src/stage.rs
@@ -14,9 +14,9 @@
 use turnford_policy::StageWork;
 use turnford_target::StreamStep;
 use turnford_target::TargetAddress;
-use turnford_target::TargetAnswer;
 use turnford_target::TargetCall;
-use turnford_target::TargetFault;
+use turnford_target::TargetError;
+use turnford_target::TargetResponse;
 
 use crate::admit::stage_length;
 use crate::admit::AdmittedRequest;
@@ -186,7 +186,7 @@
             Err(fault) => fault,
         };
         place.finish(outcome_of(fault));
-        if fault == TargetFault::OtherAttempt {
+        if fault == TargetError::AttemptMismatch {
             state.metrics.note(NodeEvent::OtherAttempt);
         }
         if surely_not_run(fault) {
@@ -194,7 +194,7 @@
                 claim.unuse();
             }
         }
-        if let (TargetFault::Leaving, Some(placement)) = (fault, &placement) {
+        if let (TargetError::Leaving, Some(placement)) = (fault, &placement) {
             state
                 .control
                 .signal_leaving(&run.spec.service, &placement.target);
@@ -215,12 +215,12 @@
     place: &PlaceGuard,
     attempt: u8,
     evidence: &mut RequestEvidence,
-) -> Result<TargetAnswer, TargetFault> {
+) -> Result<TargetResponse, TargetError> {
     let state = run.request.state.clone();
     let target = place.placement().map(|placement| placement.target.clone());
     let address = target.and_then(|target| state.addresses.load().get(&target).copied());
     let Some(address) = address else {
-        return Err(TargetFault::NotSent);
+        return Err(TargetError::NotSent);
     };
     let call = TargetCall {
         attempt: run.request.trace.with_attempt(run.index as u8, attempt),
@@ -249,7 +249,7 @@
     run: &mut StageRun<'_>,
     address: TargetAddress,
     call: &TargetCall,
-) -> Result<TargetAnswer, TargetFault> {
+) -> Result<TargetResponse, TargetError> {
     let state = run.request.state.clone();
     if call.resume_from > 0 {
         state.metrics.note(NodeEvent::Resume);
@@ -267,7 +267,7 @@
             }
             StreamStep::Done { tokens, cached } => {
                 let output = std::mem::take(&mut run.streamed);
-                return Ok(TargetAnswer {
+                return Ok(TargetResponse {
                     output,
                     tokens,
                     cached,
@@ -282,7 +282,7 @@
     run: &StageRun<'_>,
     pool: &std::sync::Arc<StagePool>,
     work: &StageWork,
-    fault: TargetFault,
+    fault: TargetError,
     attempt: u8,
 ) -> Option<PlaceGuard> {
     if attempt >= TRY_LIMIT || run.now() >= run.request.budget.deadline() {
@@ -303,37 +303,37 @@
 }
 
 /// Tells whether a call that failed so never started at its target.
-fn surely_not_run(fault: TargetFault) -> bool {
+fn surely_not_run(fault: TargetError) -> bool {
     matches!(
         fault.evidence(),
         AttemptEvidence::NotSent | AttemptEvidence::RefusedBeforeStart
     )
 }
 
-fn outcome_of(fault: TargetFault) -> StageOutcome {
+fn outcome_of(fault: TargetError) -> StageOutcome {
     match fault {
-        TargetFault::Full => StageOutcome::RefusedFull,
-        TargetFault::Leaving => StageOutcome::Leaving,
-        TargetFault::Late => StageOutcome::TimedOut,
-        TargetFault::NotSent
-        | TargetFault::Failed
-        | TargetFault::Broken
-        | TargetFault::OtherAttempt
-        | TargetFault::Unreadable => StageOutcome::Failed,
+        TargetError::Full => StageOutcome::RefusedFull,
+        TargetError::Leaving => StageOutcome::Leaving,
+        TargetError::Timeout => StageOutcome::TimedOut,
+        TargetError::NotSent
+        | TargetError::Failed
+        | TargetError::Disconnected
+        | TargetError::AttemptMismatch
+        | TargetError::Malformed => StageOutcome::Failed,
     }
 }
 
 /// Names the end of a request whose stage is not tried again.
-fn give_up(run: &StageRun<'_>, fault: TargetFault) -> StageFailure {
+fn give_up(run: &StageRun<'_>, fault: TargetError) -> StageFailure {
     let code = match fault {
-        TargetFault::NotSent | TargetFault::Full | TargetFault::Leaving => ResultCode::NoTarget,
-        TargetFault::Late if run.spec.repeatable => ResultCode::DeadlinePassed,
-        TargetFault::Failed if run.received > 0 => ResultCode::StreamBroken,
-        TargetFault::Failed => ResultCode::StageFailed,
+        TargetError::NotSent | TargetError::Full | TargetError::Leaving => ResultCode::NoTarget,
+        TargetError::Timeout if run.spec.repeatable => ResultCode::DeadlinePassed,
+        TargetError::Failed if run.received > 0 => ResultCode::StreamBroken,
+        TargetError::Failed => ResultCode::StageFailed,
         _ if !run.spec.repeatable => ResultCode::OutcomeUnknown,
         _ if run.received > 0 => ResultCode::StreamBroken,
-        TargetFault::Broken | TargetFault::Late => ResultCode::StageFailed,
-        TargetFault::OtherAttempt | TargetFault::Unreadable => ResultCode::AnswerInvalid,
+        TargetError::Disconnected | TargetError::Timeout => ResultCode::StageFailed,
+        TargetError::AttemptMismatch | TargetError::Malformed => ResultCode::AnswerInvalid,
     };
     failure(code, &format!("stage {}: {fault}", run.spec.name))
 }
@@ -357,7 +357,7 @@
 fn make_record(
     run: &StageRun<'_>,
     placement: Option<StagePlacement>,
-    answer: &TargetAnswer,
+    answer: &TargetResponse,
     attempts: u8,
     waited: Duration,
 ) -> StageRecord {
--- a/packages/turnford-platform/src/fault.rs
+++ b/packages/turnford-platform/src/fault.rs
@@ -2,66 +2,66 @@
 
 use std::fmt;
 
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 
 use crate::ObjectVersion;
 
 /// A failed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlatformFault {
+pub enum PlatformError {
     /// The call had no effect: it was not sent, or the platform refused it.
     Unavailable,
     /// The call was sent and its answer is lost; a write may have taken effect.
-    AnswerLost,
+    ResponseLost,
     /// The condition of a write does not hold.
     Conflict {
         /// Version that the object has.
         current: ObjectVersion,
     },
     /// No such object.
-    Absent,
+    NotFound,
     /// The watch asked for changes that are no longer kept; the list must be read again.
-    HistoryGone,
+    HistoryExpired,
     /// The node's own budget of calls is used up.
     OverBudget,
     /// The value is larger than the platform takes.
     TooLarge,
     /// The answer could not be understood.
-    Invalid,
+    Malformed,
 }
 
-impl PlatformFault {
+impl PlatformError {
     /// Tells whether a write may have taken effect although it failed.
     pub fn may_have_written(&self) -> bool {
-        matches!(self, PlatformFault::AnswerLost | PlatformFault::Invalid)
+        matches!(self, PlatformError::ResponseLost | PlatformError::Malformed)
     }
 }
 
-impl From<HttpFault> for PlatformFault {
-    fn from(fault: HttpFault) -> Self {
+impl From<HttpError> for PlatformError {
+    fn from(fault: HttpError) -> Self {
         if fault.was_sent() {
-            PlatformFault::AnswerLost
+            PlatformError::ResponseLost
         } else {
-            PlatformFault::Unavailable
+            PlatformError::Unavailable
         }
     }
 }
 
-impl fmt::Display for PlatformFault {
+impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformFault::Unavailable => f.write_str("the platform is not available"),
-            PlatformFault::AnswerLost => f.write_str("the platform's answer was lost"),
-            PlatformFault::Conflict { current } => {
+            PlatformError::Unavailable => f.write_str("the platform is not available"),
+            PlatformError::ResponseLost => f.write_str("the platform's answer was lost"),
+            PlatformError::Conflict { current } => {
                 write!(f, "the object has version {current}")
             }
-            PlatformFault::Absent => f.write_str("no such object"),
-            PlatformFault::HistoryGone => f.write_str("the changes are no longer kept"),
-            PlatformFault::OverBudget => f.write_str("the node's budget of calls is used up"),
-            PlatformFault::TooLarge => f.write_str("the value is too large"),
-            PlatformFault::Invalid => f.write_str("the platform's answer is not understood"),
+            PlatformError::NotFound => f.write_str("no such object"),
+            PlatformError::HistoryExpired => f.write_str("the changes are no longer kept"),
+            PlatformError::OverBudget => f.write_str("the node's budget of calls is used up"),
+            PlatformError::TooLarge => f.write_str("the value is too large"),
+            PlatformError::Malformed => f.write_str("the platform's answer is not understood"),
         }
     }
 }
 
-impl std::error::Error for PlatformFault {}
+impl std::error::Error for PlatformError {}
--- a/packages/turnford-platform/src/lib.rs
+++ b/packages/turnford-platform/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use budget::CallBudget;
 pub use budget::CallCounts;
-pub use fault::PlatformFault;
+pub use fault::PlatformError;
 pub use object::ObjectClient;
 pub use object::ObjectEvent;
 pub use object::ObjectList;
--- a/packages/turnford-platform/src/link.rs
+++ b/packages/turnford-platform/src/link.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use http::Method;
-use turnford_http::AnswerLimit;
-use turnford_http::HttpAnswer;
+use turnford_http::BufferedResponse;
 use turnford_http::HttpClient;
 use turnford_http::HttpRequest;
+use turnford_http::ResponseTimeouts;
 
 use crate::CallBudget;
-use crate::PlatformFault;
+use crate::PlatformError;
 
 /// Connections to one of the platform's services.
 #[derive(Clone)]
@@ -31,17 +31,17 @@
     }
 
     /// Starts a call that reads, if the budget has one.
-    pub(crate) fn read(&self, method: Method, path: &str) -> Result<HttpRequest, PlatformFault> {
+    pub(crate) fn read(&self, method: Method, path: &str) -> Result<HttpRequest, PlatformError> {
         if !self.budget.take_read() {
-            return Err(PlatformFault::OverBudget);
+            return Err(PlatformError::OverBudget);
         }
         Ok(HttpClient::request(method, self.address, path)?)
     }
 
     /// Starts a call that writes, if the budget has one.
-    pub(crate) fn write(&self, method: Method, path: &str) -> Result<HttpRequest, PlatformFault> {
+    pub(crate) fn write(&self, method: Method, path: &str) -> Result<HttpRequest, PlatformError> {
         if !self.budget.take_write() {
-            return Err(PlatformFault::OverBudget);
+            return Err(PlatformError::OverBudget);
         }
         Ok(HttpClient::request(method, self.address, path)?)
     }
@@ -51,8 +51,8 @@
         &self,
         request: HttpRequest,
         limit: Duration,
-    ) -> Result<HttpAnswer, PlatformFault> {
-        let limit = AnswerLimit::new(limit);
+    ) -> Result<BufferedResponse, PlatformError> {
+        let limit = ResponseTimeouts::new(limit);
         Ok(self.http.fetch(self.address, request, &limit).await?)
     }
 }
--- a/packages/turnford-platform/src/object.rs
+++ b/packages/turnford-platform/src/object.rs
@@ -9,12 +9,12 @@
 use http::Method;
 use serde::Deserialize;
 use serde::Serialize;
-use turnford_http::HttpAnswer;
+use turnford_http::BufferedResponse;
 
 use crate::link::PlatformLink;
 use crate::CallBudget;
 use crate::ObjectVersion;
-use crate::PlatformFault;
+use crate::PlatformError;
 use crate::VALUE_LIMIT;
 
 /// Header with an object's version.
@@ -121,7 +121,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_restored(&self, answer: &HttpAnswer) {
+    fn note_restored(&self, answer: &BufferedResponse) {
         let told = answer.header(RESTORED_HEADER).and_then(parse_restored);
         let mut known = self
             .restored_ago
@@ -134,8 +134,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformFault::Absent`] if there is none, or the fault of the call.
-    pub async fn get(&self, key: &str) -> Result<ObjectValue, PlatformFault> {
+    /// Returns [`PlatformError::NotFound`] if there is none, or the fault of the call.
+    pub async fn get(&self, key: &str) -> Result<ObjectValue, PlatformError> {
         let request = self.link.read(Method::GET, &format!("/objects/{key}"))?;
         let answer = self.link.send(request, CALL_LIMIT).await?;
         self.note_restored(&answer);
@@ -144,8 +144,8 @@
                 version: version_of(&answer)?,
                 bytes: answer.body,
             }),
-            404 => Err(PlatformFault::Absent),
-            _ => Err(PlatformFault::Unavailable),
+            404 => Err(PlatformError::NotFound),
+            _ => Err(PlatformError::Unavailable),
         }
     }
 
@@ -153,17 +153,17 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformFault::Conflict`] if the guard does not hold. After
-    /// [`PlatformFault::AnswerLost`] the write may have taken effect; the caller reads the object
+    /// Returns [`PlatformError::Conflict`] if the guard does not hold. After
+    /// [`PlatformError::ResponseLost`] the write may have taken effect; the caller reads the object
     /// and looks for its own mark.
     pub async fn put(
         &self,
         key: &str,
         guard: VersionGuard,
         bytes: Vec<u8>,
-    ) -> Result<ObjectVersion, PlatformFault> {
+    ) -> Result<ObjectVersion, PlatformError> {
         if bytes.len() > VALUE_LIMIT {
-            return Err(PlatformFault::TooLarge);
+            return Err(PlatformError::TooLarge);
         }
         let mut request = self.link.write(Method::PUT, &format!("/objects/{key}"))?;
         request.insert_header(GUARD_HEADER, guard.header());
@@ -172,12 +172,12 @@
         self.note_restored(&answer);
         match answer.status {
             200 => version_of(&answer),
-            409 => Err(PlatformFault::Conflict {
+            409 => Err(PlatformError::Conflict {
                 current: version_of(&answer)?,
             }),
             // A store that answers 503 has not written; any other answer leaves it open.
-            503 => Err(PlatformFault::Unavailable),
-            _ => Err(PlatformFault::Invalid),
+            503 => Err(PlatformError::Unavailable),
+            _ => Err(PlatformError::Malformed),
         }
     }
 
@@ -186,7 +186,7 @@
     /// # Errors
     ///
     /// As [`ObjectClient::put`].
-    pub async fn delete(&self, key: &str, version: ObjectVersion) -> Result<(), PlatformFault> {
+    pub async fn delete(&self, key: &str, version: ObjectVersion) -> Result<(), PlatformError> {
         let mut request = self
             .link
             .write(Method::DELETE, &format!("/objects/{key}"))?;
@@ -194,12 +194,12 @@
         let answer = self.link.send(request, CALL_LIMIT).await?;
         match answer.status {
             200 => Ok(()),
-            404 => Err(PlatformFault::Absent),
-            409 => Err(PlatformFault::Conflict {
+            404 => Err(PlatformError::NotFound),
+            409 => Err(PlatformError::Conflict {
                 current: version_of(&answer)?,
             }),
-            503 => Err(PlatformFault::Unavailable),
-            _ => Err(PlatformFault::Invalid),
+            503 => Err(PlatformError::Unavailable),
+            _ => Err(PlatformError::Malformed),
         }
     }
 
@@ -208,7 +208,7 @@
     /// # Errors
     ///
     /// Returns the fault of the call.
-    pub async fn list(&self, prefix: &str) -> Result<ObjectList, PlatformFault> {
+    pub async fn list(&self, prefix: &str) -> Result<ObjectList, PlatformError> {
         let request = self
             .link
             .read(Method::GET, &format!("/list?prefix={prefix}"))?;
@@ -220,21 +220,21 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformFault::HistoryGone`] if the list must be read again. A watch that stays
+    /// Returns [`PlatformError::HistoryExpired`] if the list must be read again. A watch that stays
     /// silent past its wait is a fault, too: it may be dead.
     pub async fn watch(
         &self,
         prefix: &str,
         after: ObjectVersion,
         wait: Duration,
-    ) -> Result<ObjectList, PlatformFault> {
+    ) -> Result<ObjectList, PlatformError> {
         let wait_ms = wait.as_millis();
         let path = format!("/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
         let request = self.link.read(Method::GET, &path)?;
         let limit = wait + WATCH_GRACE;
         let answer = self.link.send(request, limit).await?;
         if answer.status == 410 {
-            return Err(PlatformFault::HistoryGone);
+            return Err(PlatformError::HistoryExpired);
         }
         parse_list(&answer)
     }
@@ -253,15 +253,15 @@
     }
 }
 
-fn version_of(answer: &HttpAnswer) -> Result<ObjectVersion, PlatformFault> {
+fn version_of(answer: &BufferedResponse) -> Result<ObjectVersion, PlatformError> {
     let text = answer.header(VERSION_HEADER);
     let version = text.and_then(|text| text.parse().ok());
-    version.ok_or(PlatformFault::Invalid)
+    version.ok_or(PlatformError::Malformed)
 }
 
-fn parse_list(answer: &HttpAnswer) -> Result<ObjectList, PlatformFault> {
+fn parse_list(answer: &BufferedResponse) -> Result<ObjectList, PlatformError> {
     if answer.status != 200 {
-        return Err(PlatformFault::Unavailable);
+        return Err(PlatformError::Unavailable);
     }
-    serde_json::from_slice(&answer.body).map_err(|_| PlatformFault::Invalid)
+    serde_json::from_slice(&answer.body).map_err(|_| PlatformError::Malformed)
 }
--- a/packages/turnford-platform/src/vm.rs
+++ b/packages/turnford-platform/src/vm.rs
@@ -10,7 +10,7 @@
 
 use crate::link::PlatformLink;
 use crate::CallBudget;
-use crate::PlatformFault;
+use crate::PlatformError;
 
 /// Longest wait for the list.
 const LIST_LIMIT: Duration = Duration::from_secs(2);
@@ -69,12 +69,12 @@
     /// # Errors
     ///
     /// Returns the fault of the call.
-    pub async fn list(&self) -> Result<Vec<VmEntry>, PlatformFault> {
+    pub async fn list(&self) -> Result<Vec<VmEntry>, PlatformError> {
         let request = self.link.read(Method::GET, "/vms")?;
         let answer = self.link.send(request, LIST_LIMIT).await?;
         if answer.status != 200 {
-            return Err(PlatformFault::Unavailable);
+            return Err(PlatformError::Unavailable);
         }
-        serde_json::from_slice(&answer.body).map_err(|_| PlatformFault::Invalid)
+        serde_json::from_slice(&answer.body).map_err(|_| PlatformError::Malformed)
     }
 }
--- a/packages/turnford-platform/src/weight.rs
+++ b/packages/turnford-platform/src/weight.rs
@@ -9,7 +9,7 @@
 
 use crate::link::PlatformLink;
 use crate::CallBudget;
-use crate::PlatformFault;
+use crate::PlatformError;
 
 /// Longest wait for an answer.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
@@ -38,19 +38,19 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformFault::Absent`] for an unknown model, or the fault of the call.
-    pub async fn reserve(&self, model: &str) -> Result<Duration, PlatformFault> {
+    /// Returns [`PlatformError::NotFound`] for an unknown model, or the fault of the call.
+    pub async fn reserve(&self, model: &str) -> Result<Duration, PlatformError> {
         let path = format!("/weights/{model}");
         let request = self.link.read(Method::POST, &path)?;
         let answer = self.link.send(request, CALL_LIMIT).await?;
         match answer.status {
             200 => {
                 let slot: LoadSlot =
-                    serde_json::from_slice(&answer.body).map_err(|_| PlatformFault::Invalid)?;
+                    serde_json::from_slice(&answer.body).map_err(|_| PlatformError::Malformed)?;
                 Ok(Duration::from_millis(slot.wait_ms))
             }
-            404 => Err(PlatformFault::Absent),
-            _ => Err(PlatformFault::Unavailable),
+            404 => Err(PlatformError::NotFound),
+            _ => Err(PlatformError::Unavailable),
         }
     }
 }
--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -14,9 +14,9 @@
 use turnford_policy::FlowStage;
 use turnford_policy::FlowTicket;
 use turnford_policy::Moment;
-use turnford_wire::AdmitAsk;
+use turnford_wire::AdmitRequest;
 use turnford_wire::AdmitStage;
-use turnford_wire::RunNews;
+use turnford_wire::RunUpdate;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -85,7 +85,7 @@
         }
         if let Some((placer, ticket)) = &self.admitted {
             let stage = u32::try_from(stage).unwrap_or(u32::MAX);
-            placer.tell(RunNews::StageDone(*ticket, stage));
+            placer.tell(RunUpdate::StageDone(*ticket, stage));
         }
     }
 }
@@ -93,7 +93,7 @@
 impl Drop for AdmittedFlow {
     fn drop(&mut self) {
         if let Some((placer, ticket)) = &self.admitted {
-            placer.tell(RunNews::StagesEnded(*ticket));
+            placer.tell(RunUpdate::StagesEnded(*ticket));
         }
     }
 }
@@ -142,9 +142,12 @@
     let span = |millis: u32| Duration::from_millis(u64::from(millis));
     match reply {
         WorkReply::Admitted(ticket, ends) => Some(Ok((ticket, told_forecast(&ends)))),
-        WorkReply::NotAdmitted { late_ms, back_ms } => Some(Err(FlowRefusal {
+        WorkReply::NotAdmitted {
+            late_ms,
+            retry_after_ms,
+        } => Some(Err(FlowRefusal {
             lateness: span(late_ms),
-            retry_after: span(back_ms),
+            retry_after: span(retry_after_ms),
         })),
         _ => None,
     }
@@ -255,7 +258,7 @@
     desk: &ServiceDesk,
     need: &FlowRequest,
     patience: Duration,
-) -> AdmitAsk {
+) -> AdmitRequest {
     let left = need.deadline.saturating_sub(traffic.shared.now());
     let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
     let number = |value: &usize| u32::try_from(*value).unwrap_or(u32::MAX);
@@ -264,18 +267,18 @@
         pieces: stage.pieces,
         inputs: stage.inputs.iter().map(number).collect(),
     });
-    AdmitAsk {
+    AdmitRequest {
         service: desk.spec.borrow().name.to_string(),
         stages: stages.collect(),
         ranks: need.ranks,
-        limit_ms: millis(need.time_budget),
-        patience_ms: millis(patience),
-        left_ms: millis(left),
+        time_budget_ms: millis(need.time_budget),
+        send_deadline_ms: millis(patience),
+        remaining_ms: millis(left),
     }
 }
 
 /// Answers a request to admit.
-pub(crate) fn answer_admit(traffic: &Rc<Traffic>, ask: AdmitAsk) -> WorkReply {
+pub(crate) fn answer_admit(traffic: &Rc<Traffic>, ask: AdmitRequest) -> WorkReply {
     let Some(desk) = traffic.desk(&ask.service) else {
         return WorkReply::Refused;
     };
@@ -287,15 +290,15 @@
     let need = FlowRequest {
         stages: stages.collect(),
         ranks: ask.ranks,
-        time_budget: Duration::from_millis(ask.limit_ms),
-        deadline: traffic.shared.now() + Duration::from_millis(ask.left_ms),
+        time_budget: Duration::from_millis(ask.time_budget_ms),
+        deadline: traffic.shared.now() + Duration::from_millis(ask.remaining_ms),
     };
-    let patience = Duration::from_millis(ask.patience_ms);
+    let patience = Duration::from_millis(ask.send_deadline_ms);
     match admit_here(traffic, &desk, &need, patience) {
         Ok((ticket, forecast)) => WorkReply::Admitted(ticket, encode_forecast(&forecast)),
         Err(refusal) => WorkReply::NotAdmitted {
             late_ms: short_millis(refusal.lateness),
-            back_ms: short_millis(refusal.retry_after),
+            retry_after_ms: short_millis(refusal.retry_after),
         },
     }
 }
--- a/packages/turnford-serve/src/batch.rs
+++ b/packages/turnford-serve/src/batch.rs
@@ -9,8 +9,8 @@
 use turnford_adapter::decode_report;
 use turnford_adapter::encode_pieces;
 use turnford_adapter::encode_report;
-use turnford_adapter::PieceEnd;
-use turnford_adapter::PieceOrder;
+use turnford_adapter::PieceItem;
+use turnford_adapter::PieceStatus;
 use turnford_adapter::StageReport;
 use turnford_policy::BatchPlan;
 use turnford_policy::Moment;
@@ -59,7 +59,7 @@
     match report {
         Ok(report) => {
             let mut board = cell.pieces.board.borrow_mut();
-            board.record_report(now, &target.id, report.most_free_bytes);
+            board.record_report(now, &target.id, report.max_free_bytes);
         }
         Err(reason) => {
             log::info!("target={} gave no report: {reason}", target.id);
@@ -140,7 +140,7 @@
             cell.desk.note_success(traffic.shared.now(), &target.id);
             note_speed(cell, target, took, span);
             let made = made_results(&plan, &ends);
-            if made.is_empty() && ends.contains(&PieceEnd::NoRoom) {
+            if made.is_empty() && ends.contains(&PieceStatus::NoSpace) {
                 let now = traffic.shared.now();
                 cell.pieces
                     .board
@@ -245,10 +245,10 @@
     board.record_slowness(now, &target.id, sample);
 }
 
-fn made_results(plan: &BatchPlan, ends: &[PieceEnd]) -> Vec<(String, u64)> {
+fn made_results(plan: &BatchPlan, ends: &[PieceStatus]) -> Vec<(String, u64)> {
     let pieces = plan.pieces.iter().zip(ends);
     let made = pieces.filter_map(|((_, work), end)| match end {
-        PieceEnd::Made(handle) => Some((handle.clone(), work.result_bytes)),
+        PieceStatus::Completed(handle) => Some((handle.clone(), work.result_bytes)),
         _ => None,
     });
     made.collect()
@@ -301,17 +301,17 @@
     target: &TargetSpec,
     plan: &BatchPlan,
     limit: Duration,
-) -> Result<Vec<PieceEnd>, CallFault> {
+) -> Result<Vec<PieceStatus>, CallFault> {
     let now = cell.traffic.shared.now();
-    let orders = plan.pieces.iter().map(|(_, work)| PieceOrder {
+    let orders = plan.pieces.iter().map(|(_, work)| PieceItem {
         attempt: &work.attempt,
         stage: work.stage,
         piece: work.piece,
-        left: work.deadline.saturating_sub(now),
-        key: work.piece_key.as_deref(),
+        remaining: work.deadline.saturating_sub(now),
+        piece_key: work.piece_key.as_deref(),
         inputs: &work.inputs,
     });
-    let orders: Vec<PieceOrder<'_>> = orders.collect();
+    let orders: Vec<PieceItem<'_>> = orders.collect();
     let host = target.address.to_string();
     let request = encode_pieces(&host, &target.id, &orders).map_err(|problem| {
         log::error!("target={} call of pieces: {problem}", target.id);
--- a/packages/turnford-serve/src/call.rs
+++ b/packages/turnford-serve/src/call.rs
@@ -14,10 +14,10 @@
 use http_body_util::Limited;
 use hyper::body::Incoming;
 
-use turnford_adapter::decode_answer;
-use turnford_adapter::AnswerFacts;
-use turnford_http::HttpFault;
-use turnford_http::HttpLink;
+use turnford_adapter::decode_response;
+use turnford_adapter::ResponseAttributes;
+use turnford_http::HttpConnection;
+use turnford_http::HttpError;
 use turnford_policy::TargetSpec;
 
 use crate::desk::FlightGuard;
@@ -83,11 +83,11 @@
 /// A target's answer whose body is still to come.
 pub(crate) struct TargetAnswer {
     pub(crate) parts: Parts,
-    pub(crate) facts: AnswerFacts,
+    pub(crate) facts: ResponseAttributes,
     /// Whether it says that its target leaves.
     pub(crate) leaves: bool,
     pub(crate) body: Incoming,
-    link: HttpLink,
+    link: HttpConnection,
     _flight: FlightGuard,
 }
 
@@ -117,8 +117,8 @@
 
 /// What has to be done after the body of a stream ended.
 pub(crate) struct StreamRest {
-    link: HttpLink,
-    facts: AnswerFacts,
+    link: HttpConnection,
+    facts: ResponseAttributes,
     _flight: FlightGuard,
 }
 
@@ -130,12 +130,12 @@
 }
 
 /// Lays a connection down until its target may close it.
-fn lay_down(traffic: &Traffic, link: HttpLink, facts: &AnswerFacts) {
+fn lay_down(traffic: &Traffic, link: HttpConnection, facts: &ResponseAttributes) {
     if facts.closes {
         return;
     }
     let keep = facts
-        .keep
+        .keep_alive
         .map_or(DEFAULT_KEEP, |keep| keep.mul_f64(KEEP_PART));
     let now = traffic.shared.now();
     traffic.shelf.borrow_mut().put(now, link, keep);
@@ -170,7 +170,7 @@
     let sent = async { Some(link.send(request).await) };
     let answer = match sent.or(late).await {
         Some(Ok(answer)) => answer,
-        Some(Err(HttpFault::NotConnected)) => {
+        Some(Err(HttpError::NotConnected)) => {
             return Err(CallFault::NotSent("the connection was closed"))
         }
         Some(Err(_)) => return Err(CallFault::Broke("the connection broke")),
@@ -178,7 +178,7 @@
     };
     let (parts, body) = answer.into_parts();
     let word = hear_words(traffic, desk, target, &parts, attempt, now);
-    let facts = decode_answer(&parts).map_err(|problem| {
+    let facts = decode_response(&parts).map_err(|problem| {
         log::warn!("target={} answer refused: {problem}", target.id);
         CallFault::Unknown("the answer's head makes no sense")
     })?;
@@ -205,7 +205,7 @@
     Ok(TargetAnswer {
         parts,
         facts,
-        leaves: word.leaves,
+        leaves: word.is_leaving,
         body,
         link,
         _flight: flight,
@@ -213,7 +213,7 @@
 }
 
 /// Notes an answer that belongs to another request; its connection is spoiled.
-fn other_attempt(traffic: &Traffic, target: &TargetSpec, facts: &AnswerFacts) -> CallFault {
+fn other_attempt(traffic: &Traffic, target: &TargetSpec, facts: &ResponseAttributes) -> CallFault {
     log::warn!(
         "target={} dropped an answer for request={}",
         target.id,
@@ -231,7 +231,7 @@
     traffic: &Traffic,
     desk: &Rc<ServiceDesk>,
     target: &TargetSpec,
-) -> Result<HttpLink, CallFault> {
+) -> Result<HttpConnection, CallFault> {
     let rested =
         traffic
             .shelf
@@ -240,7 +240,7 @@
     if let Some(link) = rested {
         return Ok(link);
     }
-    let opened = HttpLink::open(&traffic.executor, target.address, CONNECT_LIMIT).await;
+    let opened = HttpConnection::open(&traffic.executor, target.address, CONNECT_LIMIT).await;
     let metrics = &traffic.shared.metrics;
     metrics.note_service(&target.service, ServiceEvent::Connected);
     opened.map_err(|_| {
@@ -251,7 +251,12 @@
 }
 
 /// Reads the rest of a refusal, so that its connection can be used again.
-async fn drain_refusal(traffic: &Traffic, link: HttpLink, facts: &AnswerFacts, body: Incoming) {
+async fn drain_refusal(
+    traffic: &Traffic,
+    link: HttpConnection,
+    facts: &ResponseAttributes,
+    body: Incoming,
+) {
     let read = async {
         let body = Limited::new(body, REFUSAL_LIMIT).collect().await;
         body.is_ok()
--- a/packages/turnford-serve/src/control/config.rs
+++ b/packages/turnford-serve/src/control/config.rs
@@ -10,7 +10,7 @@
 use turnford_adapter::CONFIG_KIND;
 use turnford_adapter::CONFIG_NAME;
 use turnford_policy::RouteTable;
-use turnford_wire::PackedText;
+use turnford_wire::CompressedText;
 
 use super::context::ControlContext;
 use super::follow::follow_kind;
@@ -27,14 +27,14 @@
     /// As it was read from the store.
     Read(Value),
     /// As peers tell it to each other.
-    Packed(PackedText),
+    Packed(CompressedText),
 }
 
 impl HeldConfig {
     /// Returns it as peers are told. It is packed at the first question, since few nodes are asked.
-    pub(super) fn packed(&mut self) -> Option<&PackedText> {
+    pub(super) fn packed(&mut self) -> Option<&CompressedText> {
         if let HeldConfig::Read(spec) = self {
-            *self = HeldConfig::Packed(PackedText::pack(&spec.to_string()));
+            *self = HeldConfig::Packed(CompressedText::compress(&spec.to_string()));
         }
         match self {
             HeldConfig::Packed(packed) => Some(packed),
@@ -53,7 +53,7 @@
             }
         }
         StoreNews::Events(events, _) => {
-            for event in events.iter().filter(|event| !event.is_gone) {
+            for event in events.iter().filter(|event| !event.is_deleted) {
                 take_object(&heard, &event.object);
             }
         }
--- a/packages/turnford-serve/src/control/context.rs
+++ b/packages/turnford-serve/src/control/context.rs
@@ -25,7 +25,7 @@
 use turnford_policy::TargetList;
 use turnford_wire::PeerClient;
 use turnford_wire::ViewCursor;
-use turnford_wire::ViewMark;
+use turnford_wire::ViewDigest;
 
 use super::config::HeldConfig;
 use crate::shared::ServeShared;
@@ -160,8 +160,8 @@
     }
 
     /// Returns how new this node's knowledge is.
-    pub(super) fn mark(&self) -> ViewMark {
-        ViewMark {
+    pub(super) fn mark(&self) -> ViewDigest {
+        ViewDigest {
             config: self.shared.view.load().config.version,
             targets: self.targets.borrow().changed_at(),
         }
--- a/packages/turnford-serve/src/control/follow.rs
+++ b/packages/turnford-serve/src/control/follow.rs
@@ -7,8 +7,8 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
+use turnford_adapter::StoreError;
 use turnford_adapter::StoreEvent;
-use turnford_adapter::StoreFault;
 use turnford_adapter::StoreList;
 use turnford_policy::StorePosition;
 
@@ -96,13 +96,15 @@
             }
             // A list holds only the newest of each object; a watch, each change since.
             Err(
-                fault @ (StoreFault::HistoryGone | StoreFault::OtherEra | StoreFault::TooLarge),
+                fault @ (StoreError::HistoryExpired
+                | StoreError::EraMismatch
+                | StoreError::TooLarge),
             ) if from.is_some() => {
                 log::info!("listing anew: kind={kind} reason={fault}");
                 state.place.set(None);
             }
             Err(fault) => {
-                if let StoreFault::Stalled(received) = fault {
+                if let StoreError::Stalled(received) = fault {
                     context.note_abandoned(received);
                 }
                 let (pause, answered_before) = context.note_failure(state);
@@ -119,9 +121,9 @@
 async fn list_kind(
     context: &ControlContext,
     kind: &str,
-) -> Result<(StoreNews, StorePosition), StoreFault> {
+) -> Result<(StoreNews, StorePosition), StoreError> {
     let list = context.store.list(kind, LIST_LIMIT).await?;
-    let place = list.place;
+    let place = list.position;
     Ok((StoreNews::List(list), place))
 }
 
@@ -130,16 +132,16 @@
     kind: &str,
     place: StorePosition,
     wait: Duration,
-) -> Result<(StoreNews, StorePosition), StoreFault> {
+) -> Result<(StoreNews, StorePosition), StoreError> {
     let (events, place) = context.store.watch(kind, place, wait).await?;
     Ok((StoreNews::Events(events, place), place))
 }
 
 /// Ends when the store is known to have another era than a place: a watch from there would end late, or
 /// miss what lies below it.
-async fn other_era<T>(context: &ControlContext, place: StorePosition) -> Result<T, StoreFault> {
+async fn other_era<T>(context: &ControlContext, place: StorePosition) -> Result<T, StoreError> {
     while context.store.era() == place.era {
         Timer::after(ERA_PAUSE).await;
     }
-    Err(StoreFault::OtherEra)
+    Err(StoreError::EraMismatch)
 }
--- a/packages/turnford-serve/src/control/members.rs
+++ b/packages/turnford-serve/src/control/members.rs
@@ -10,15 +10,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use turnford_adapter::StoreFault;
+use turnford_adapter::StoreError;
 use turnford_adapter::StoreObject;
 use turnford_adapter::NODE_KIND;
 use turnford_fleet::MemberRecord;
 use turnford_fleet::MemberState;
 use turnford_fleet::MemberUpdate;
 use turnford_fleet::ProbePlan;
-use turnford_wire::RouteReply;
-use turnford_wire::RouteRequest;
+use turnford_wire::ControlReply;
+use turnford_wire::ControlRequest;
 
 use super::context::ControlContext;
 use super::news::compare_mark;
@@ -136,23 +136,23 @@
     });
 }
 
-fn ping(context: &ControlContext, to: &str) -> RouteRequest {
+fn ping(context: &ControlContext, to: &str) -> ControlRequest {
     let mut members = context.members.borrow_mut();
-    RouteRequest::Ping {
+    ControlRequest::Ping {
         gossip: members.take_gossip(to),
-        mark: context.mark(),
+        digest: context.mark(),
         members: members.checksum(),
     }
 }
 
 /// Answers a ping.
-pub(super) fn answer_ping(context: &Rc<ControlContext>, gossip: Vec<MemberUpdate>) -> RouteReply {
+pub(super) fn answer_ping(context: &Rc<ControlContext>, gossip: Vec<MemberUpdate>) -> ControlReply {
     let from = gossip.first().map(|from| from.name.clone());
     apply_gossip(context, gossip);
     let mut members = context.members.borrow_mut();
-    RouteReply::Pong {
+    ControlReply::Pong {
         gossip: members.take_gossip(from.as_deref().unwrap_or("")),
-        mark: context.mark(),
+        digest: context.mark(),
         members: members.checksum(),
     }
 }
@@ -161,16 +161,16 @@
 pub(super) async fn answer_ping_via(
     context: &Rc<ControlContext>,
     target: MemberUpdate,
-) -> RouteReply {
-    RouteReply::Reached(ping_once(context, &target.name, target.address).await)
+) -> ControlReply {
+    ControlReply::Reached(ping_once(context, &target.name, target.address).await)
 }
 
 /// Returns every live member.
-pub(super) fn answer_member_pull(context: &ControlContext) -> RouteReply {
+pub(super) fn answer_member_pull(context: &ControlContext) -> ControlReply {
     let members = context.members.borrow();
     let own = members.own().clone();
     let others = members.live().map(|record| record.update.clone());
-    RouteReply::Members(others.chain(std::iter::once(own)).collect())
+    ControlReply::Members(others.chain(std::iter::once(own)).collect())
 }
 
 fn apply_gossip(context: &ControlContext, gossip: Vec<MemberUpdate>) {
@@ -215,21 +215,21 @@
 }
 
 async fn ask_helper(context: Rc<ControlContext>, helper: ProbePlan, target: MemberUpdate) -> bool {
-    let request = RouteRequest::PingVia { target };
+    let request = ControlRequest::PingVia { target };
     let reply = context
         .peers
         .call(helper.address, &request, INDIRECT_LIMIT)
         .await;
-    matches!(reply, Ok(RouteReply::Reached(true)))
+    matches!(reply, Ok(ControlReply::Reached(true)))
 }
 
 /// Pings an address; true if it answered.
 async fn ping_once(context: &Rc<ControlContext>, name: &str, address: SocketAddr) -> bool {
     let request = ping(context, name);
     let reply = context.peers.call(address, &request, PROBE_LIMIT).await;
-    let Ok(RouteReply::Pong {
+    let Ok(ControlReply::Pong {
         gossip,
-        mark,
+        digest: mark,
         members,
     }) = reply
     else {
@@ -251,9 +251,9 @@
         return;
     }
     context.next_pull.set(now + PULL_PAUSE);
-    let request = RouteRequest::MemberPull;
+    let request = ControlRequest::MemberPull;
     let reply = context.peers.call(address, &request, PROBE_LIMIT).await;
-    if let Ok(RouteReply::Members(updates)) = reply {
+    if let Ok(ControlReply::Members(updates)) = reply {
         apply_gossip(context, updates);
     }
 }
@@ -295,7 +295,7 @@
     }
 }
 
-async fn try_register(context: &Rc<ControlContext>) -> Result<(), StoreFault> {
+async fn try_register(context: &Rc<ControlContext>) -> Result<(), StoreError> {
     let settings = &context.shared.settings;
     let record = NodeRecord {
         inner: settings.inner,
@@ -304,7 +304,7 @@
         started: context.shared.started,
     };
     let spec =
-        serde_json::to_value(&record).map_err(|error| StoreFault::Garbled(error.to_string()))?;
+        serde_json::to_value(&record).map_err(|error| StoreError::Malformed(error.to_string()))?;
     let store = &context.store;
     store
         .put(NODE_KIND, &settings.name, spec, STORE_LIMIT)
@@ -357,7 +357,7 @@
         let tell = async move {
             let call = told.peers.call(peer.address, &request, PROBE_LIMIT);
             // A peer that does not hear it finds out by its own probe.
-            let _: Result<RouteReply, _> = call.await;
+            let _: Result<ControlReply, _> = call.await;
         };
         context.executor.spawn(tell).detach();
     }
--- a/packages/turnford-serve/src/control/news.rs
+++ b/packages/turnford-serve/src/control/news.rs
@@ -10,9 +10,9 @@
 
 use async_io::Timer;
 
-use turnford_wire::RouteReply;
-use turnford_wire::RouteRequest;
-use turnford_wire::ViewMark;
+use turnford_wire::ControlReply;
+use turnford_wire::ControlRequest;
+use turnford_wire::ViewDigest;
 
 use super::context::ControlContext;
 use super::view::pull_view;
@@ -34,25 +34,25 @@
 
 /// Tells a few peers when this node has learned something from the store.
 pub(super) async fn spread_news(context: Rc<ControlContext>) {
-    let mut told = ViewMark::default();
+    let mut told = ViewDigest::default();
     loop {
         context.learned.1.recv().await.ok();
         Timer::after(NEWS_PAUSE).await;
-        let mark = context.mark();
-        if mark == told {
+        let digest = context.mark();
+        if digest == told {
             continue;
         }
-        told = mark;
+        told = digest;
         let from = context.shared.settings.inner;
         let peers = context.members.borrow_mut().sample(NEWS_FANOUT);
         for peer in peers {
             let context = context.clone();
             let executor = context.executor.clone();
             let tell = async move {
-                let news = RouteRequest::News { from, mark };
+                let news = ControlRequest::Notify { from, digest };
                 let call = context.peers.call(peer.address, &news, NEWS_LIMIT);
                 // A peer that does not hear it learns it from the store or by a ping.
-                let _: Result<RouteReply, _> = call.await;
+                let _: Result<ControlReply, _> = call.await;
             };
             executor.spawn(tell).detach();
         }
@@ -60,20 +60,20 @@
 }
 
 /// Asks a peer that knows more than this node, at once where the store is away.
-pub(super) fn compare_mark(context: &Rc<ControlContext>, peer: SocketAddr, mark: ViewMark) {
+pub(super) fn compare_mark(context: &Rc<ControlContext>, peer: SocketAddr, mark: ViewDigest) {
     if knows_more(context, mark) {
         let pull = pull_later(context.clone(), peer, mark);
         context.executor.spawn(pull).detach();
     }
 }
 
-fn knows_more(context: &ControlContext, mark: ViewMark) -> bool {
+fn knows_more(context: &ControlContext, mark: ViewDigest) -> bool {
     let config = context.shared.view.load().config.version;
     let targets = context.targets.borrow().position();
     mark.config > config || mark.targets > targets
 }
 
-async fn pull_later(context: Rc<ControlContext>, peer: SocketAddr, mark: ViewMark) {
+async fn pull_later(context: Rc<ControlContext>, peer: SocketAddr, mark: ViewDigest) {
     if !context.is_store_lost() {
         Timer::after(SOURCE_PATIENCE).await;
     }
--- a/packages/turnford-serve/src/control/peers.rs
+++ b/packages/turnford-serve/src/control/peers.rs
@@ -6,9 +6,9 @@
 use async_net::TcpListener;
 
 use turnford_wire::accept_peers;
-use turnford_wire::GivenUpCall;
-use turnford_wire::RouteReply;
-use turnford_wire::RouteRequest;
+use turnford_wire::CancelPolicy;
+use turnford_wire::ControlReply;
+use turnford_wire::ControlRequest;
 
 use super::context::ControlContext;
 use super::members;
@@ -19,25 +19,25 @@
 pub(super) async fn serve_peers(context: Rc<ControlContext>, listener: TcpListener) {
     let executor = context.executor.clone();
     let handler = move |request| answer(context.clone(), request);
-    let refusal = || RouteReply::Refused;
-    accept_peers(listener, executor, GivenUpCall::Finished, refusal, handler).await;
+    let refusal = || ControlReply::Refused;
+    accept_peers(listener, executor, CancelPolicy::Finish, refusal, handler).await;
 }
 
-async fn answer(context: Rc<ControlContext>, request: RouteRequest) -> RouteReply {
+async fn answer(context: Rc<ControlContext>, request: ControlRequest) -> ControlReply {
     match request {
-        RouteRequest::Ping { gossip, mark, .. } => {
+        ControlRequest::Ping { gossip, digest, .. } => {
             if let Some(from) = gossip.first() {
-                news::compare_mark(&context, from.address, mark);
+                news::compare_mark(&context, from.address, digest);
             }
             members::answer_ping(&context, gossip)
         }
-        RouteRequest::PingVia { target } => members::answer_ping_via(&context, target).await,
-        RouteRequest::MemberPull => members::answer_member_pull(&context),
-        RouteRequest::News { from, mark } => {
-            news::compare_mark(&context, from, mark);
-            RouteReply::Noted
+        ControlRequest::PingVia { target } => members::answer_ping_via(&context, target).await,
+        ControlRequest::MemberPull => members::answer_member_pull(&context),
+        ControlRequest::Notify { from, digest } => {
+            news::compare_mark(&context, from, digest);
+            ControlReply::Ack
         }
-        RouteRequest::ViewPull {
+        ControlRequest::ViewPull {
             config,
             cursor,
             wait_ms,
--- a/packages/turnford-serve/src/control/suspects.rs
+++ b/packages/turnford-serve/src/control/suspects.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use turnford_adapter::StoreFault;
+use turnford_adapter::StoreError;
 use turnford_adapter::StoreObject;
 use turnford_adapter::SUSPECT_KIND;
 use turnford_fleet::CrashNews;
@@ -43,7 +43,7 @@
             }
         };
         match done {
-            Ok(()) | Err(StoreFault::Missing) => {}
+            Ok(()) | Err(StoreError::NotFound) => {}
             Err(fault) => log::warn!("asks={digest} is not kept in the store: {fault}"),
         }
     }
@@ -53,7 +53,7 @@
     context: &ControlContext,
     digest: RequestDigest,
     crashes: Vec<CrashNews>,
-) -> Result<(), StoreFault> {
+) -> Result<(), StoreError> {
     log::info!(
         "asks={digest} is kept in the store: crashes={}",
         crashes.len()
@@ -64,7 +64,7 @@
         crashes,
     };
     let spec =
-        serde_json::to_value(&record).map_err(|error| StoreFault::Garbled(error.to_string()))?;
+        serde_json::to_value(&record).map_err(|error| StoreError::Malformed(error.to_string()))?;
     let name = name_of(&digest);
     context
         .store
@@ -73,7 +73,7 @@
 }
 
 /// Reads the requests that nodes of before kept, for a node that starts.
-pub(super) async fn learn_suspects(context: &ControlContext) -> Result<(), StoreFault> {
+pub(super) async fn learn_suspects(context: &ControlContext) -> Result<(), StoreError> {
     let list = context.store.list(SUSPECT_KIND, STORE_LIMIT).await?;
     for object in &list.objects {
         let Some(record) = decode(object) else {
--- a/packages/turnford-serve/src/control/targets.rs
+++ b/packages/turnford-serve/src/control/targets.rs
@@ -46,14 +46,14 @@
     match news {
         StoreNews::List(objects) => {
             let entries = objects.objects.iter().filter_map(decode_entry);
-            list.replace_all(now, objects.place, entries.collect());
+            list.replace_all(now, objects.position, entries.collect());
         }
         StoreNews::Events(events, place) => {
             list.advance_to(*place);
             for event in events {
                 let name = &event.object.name;
                 match decode_entry(&event.object) {
-                    _ if event.is_gone => list.remove(now, name),
+                    _ if event.is_deleted => list.remove(now, name),
                     Some(target) => list.put(target),
                     None => list.remove_invalid(name),
                 }
--- a/packages/turnford-serve/src/control/view.rs
+++ b/packages/turnford-serve/src/control/view.rs
@@ -13,13 +13,13 @@
 use turnford_policy::Moment;
 use turnford_policy::TargetSpec;
 use turnford_policy::TargetUpdate;
-use turnford_wire::PackedText;
-use turnford_wire::PeerFault;
-use turnford_wire::RouteReply;
-use turnford_wire::RouteRequest;
+use turnford_wire::CompressedText;
+use turnford_wire::ControlReply;
+use turnford_wire::ControlRequest;
+use turnford_wire::PeerError;
 use turnford_wire::TargetEntry;
 use turnford_wire::ViewCursor;
-use turnford_wire::ViewNews;
+use turnford_wire::ViewUpdate;
 
 use super::config::take_spec;
 use super::config::HeldConfig;
@@ -71,8 +71,8 @@
     context: &Rc<ControlContext>,
     peer: SocketAddr,
     wait: Duration,
-) -> Result<PulledView, PeerFault> {
-    let request = RouteRequest::ViewPull {
+) -> Result<PulledView, PeerError> {
+    let request = ControlRequest::ViewPull {
         config: context.shared.view.load().config.version,
         cursor: context.cursors.borrow().get(&peer).copied(),
         wait_ms: to_millis(wait),
@@ -80,12 +80,12 @@
     let limit = wait + PULL_LIMIT;
     let begun = context.now();
     let reply = context.peers.call(peer, &request, limit).await;
-    if let Err(PeerFault::Stalled(received)) = reply {
+    if let Err(PeerError::Stalled(received)) = reply {
         context.note_abandoned(received);
     }
     match reply? {
-        RouteReply::View(news) => Ok(take_view(context, peer, begun, news)),
-        _ => Err(PeerFault::Broken),
+        ControlReply::View(news) => Ok(take_view(context, peer, begun, news)),
+        _ => Err(PeerError::Disconnected),
     }
 }
 
@@ -94,17 +94,17 @@
     context: &ControlContext,
     peer: SocketAddr,
     begun: Moment,
-    news: ViewNews,
+    news: ViewUpdate,
 ) -> PulledView {
     let now = context.now();
     let packed = news.config.as_ref();
     let is_understood = packed.is_none_or(|packed| take_config(context, peer, packed));
-    let (place, cursor) = (news.target_place, news.cursor);
+    let (place, cursor) = (news.target_position, news.cursor);
     // A large answer is on its way for some time, in which what it tells grows old.
     let waited = from_millis(news.waited_ms);
     let on_way = now.saturating_sub(begun + waited);
     let age = from_millis(news.age_ms) + on_way;
-    let config_place = news.config_place;
+    let config_place = news.config_position;
     let config_state = &context.config_state;
     // A configuration that made no sense is still to come from the store.
     if is_understood {
@@ -128,9 +128,9 @@
 }
 
 /// Puts a peer's configuration into force if it is newer; false if it makes no sense.
-fn take_config(context: &ControlContext, peer: SocketAddr, packed: &PackedText) -> bool {
+fn take_config(context: &ControlContext, peer: SocketAddr, packed: &CompressedText) -> bool {
     let spec = packed
-        .unpack()
+        .decompress()
         .map_err(|fault| fault.to_string())
         .and_then(|text| serde_json::from_str(&text).map_err(|error| error.to_string()));
     let spec: Value = match spec {
@@ -152,20 +152,20 @@
     config: u64,
     cursor: Option<ViewCursor>,
     wait: Duration,
-) -> RouteReply {
+) -> ControlReply {
     let begun = context.now();
     let until = begun + wait.min(LONGEST_WAIT);
     loop {
         let after = cursor.and_then(|cursor| known_change(&context, cursor));
         let changed = context.view_changed.listen();
         if context.shared.is_draining() {
-            return RouteReply::Refused;
+            return ControlReply::Refused;
         }
         let has_config = context.shared.view.load().config.version > config;
         let has_targets = after != Some(context.targets.borrow().newest_change());
         let left = until.saturating_sub(context.now());
         if has_config || has_targets || left.is_zero() {
-            return RouteReply::View(view_news(&context, config, after, begun));
+            return ControlReply::View(view_news(&context, config, after, begun));
         }
         let over = async {
             Timer::after(left).await;
@@ -183,7 +183,12 @@
 }
 
 /// Returns what is new for one that asked at `begun`.
-fn view_news(context: &ControlContext, config: u64, after: Option<u64>, begun: Moment) -> ViewNews {
+fn view_news(
+    context: &ControlContext,
+    config: u64,
+    after: Option<u64>,
+    begun: Moment,
+) -> ViewUpdate {
     let is_newer = context.shared.view.load().config.version > config;
     let mut held = context.held_config.borrow_mut();
     let packed = if is_newer { held.packed() } else { None };
@@ -192,13 +197,13 @@
     let now = context.now();
     let targets = news.listed.iter().map(|listed| target_entry(now, listed));
     let gone = news.removed.iter().map(ToString::to_string);
-    ViewNews {
+    ViewUpdate {
         config: packed.cloned(),
-        config_place: context.config_state.place.get().unwrap_or_default(),
-        is_whole: news.is_full,
+        config_position: context.config_state.place.get().unwrap_or_default(),
+        is_full: news.is_full,
         targets: targets.collect(),
-        gone: gone.collect(),
-        target_place: list.position(),
+        removed: gone.collect(),
+        target_position: list.position(),
         cursor: ViewCursor {
             process: context.shared.started,
             era: list.position().era,
@@ -221,25 +226,25 @@
     let target = &listed.spec;
     TargetEntry {
         id: target.id.to_string(),
-        born: target.process_start,
+        process_start: target.process_start,
         service: target.service.to_string(),
         address: target.address,
         hall: target.hall.to_string(),
         slots: target.slots,
         orders: target.orders,
         leaving: target.leaving,
-        gone_in_ms: listed
+        expires_in_ms: listed
             .expires_at
             .map(|at| to_millis(at.saturating_sub(now))),
-        is_copied: listed.is_restored,
+        is_restored: listed.is_restored,
     }
 }
 
-fn target_news(now: Moment, news: ViewNews) -> TargetUpdate {
+fn target_news(now: Moment, news: ViewUpdate) -> TargetUpdate {
     let listed = news.targets.into_iter().map(|entry| ListedTarget {
         spec: TargetSpec {
             id: entry.id.into(),
-            process_start: entry.born,
+            process_start: entry.process_start,
             service: entry.service.into(),
             address: entry.address,
             hall: entry.hall.into(),
@@ -247,12 +252,12 @@
             orders: entry.orders,
             leaving: entry.leaving,
         },
-        expires_at: entry.gone_in_ms.map(|left| now + from_millis(left)),
-        is_restored: entry.is_copied,
+        expires_at: entry.expires_in_ms.map(|left| now + from_millis(left)),
+        is_restored: entry.is_restored,
     });
     TargetUpdate {
-        is_full: news.is_whole,
+        is_full: news.is_full,
         listed: listed.collect(),
-        removed: news.gone.into_iter().map(Into::into).collect(),
+        removed: news.removed.into_iter().map(Into::into).collect(),
     }
 }
--- a/packages/turnford-serve/src/crash_news.rs
+++ b/packages/turnford-serve/src/crash_news.rs
@@ -94,18 +94,18 @@
     if !new.is_empty() {
         tell_crashes(traffic, new);
     }
-    WorkReply::Noted
+    WorkReply::Ack
 }
 
 /// Answers a node that compares what it knows.
 pub(crate) fn answer_crash_sync(traffic: &Traffic, sum: u64, is_new: bool) -> WorkReply {
     let own = traffic.crashes.table.borrow().checksum();
-    let news = if own == sum {
+    let updates = if own == sum {
         Vec::new()
     } else {
         list_crashes(traffic, is_new)
     };
-    WorkReply::Crashes { sum: own, news }
+    WorkReply::Crashes { sum: own, updates }
 }
 
 /// Returns all crashes for another node; none if the last such list is not long enough ago, unless
@@ -150,10 +150,10 @@
     let sum = traffic.crashes.table.borrow().checksum();
     let request = WorkRequest::CrashSync { sum, is_new };
     let reply = traffic.peers.call(peer, &request, ANSWER_LIMIT).await;
-    let Some(WorkReply::Crashes { sum, news }) = reply else {
+    let Some(WorkReply::Crashes { sum, updates }) = reply else {
         return false;
     };
-    for news in &news {
+    for news in &updates {
         take_crash(traffic, news);
     }
     if traffic.crashes.table.borrow().checksum() != sum {
--- a/packages/turnford-serve/src/entry.rs
+++ b/packages/turnford-serve/src/entry.rs
@@ -17,9 +17,9 @@
 use http::StatusCode;
 use hyper::body::Incoming;
 
-use turnford_adapter::is_ready_probe;
-use turnford_http::serve_link;
-use turnford_http::LinkLimits;
+use turnford_adapter::is_readiness_probe;
+use turnford_http::serve_client;
+use turnford_http::ConnectionLimits;
 use turnford_policy::ClientLimits;
 
 use crate::answer::AnswerBody;
@@ -70,16 +70,16 @@
         };
         let limits = limits.clone();
         let limits = move || link_limits(&limits());
-        let serve = serve_link(stream, limits, closing.clone(), handler.clone());
+        let serve = serve_client(stream, limits, closing.clone(), handler.clone());
         executor.spawn(serve).detach();
     }
 }
 
-fn link_limits(limits: &ClientLimits) -> LinkLimits {
-    LinkLimits {
-        head_bytes: limits.max_header_bytes,
-        head_span: limits.header_timeout,
-        idle_span: limits.idle_timeout,
+fn link_limits(limits: &ClientLimits) -> ConnectionLimits {
+    ConnectionLimits {
+        max_header_bytes: limits.max_header_bytes,
+        header_timeout: limits.header_timeout,
+        idle_timeout: limits.idle_timeout,
     }
 }
 
@@ -102,7 +102,7 @@
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let (parts, _) = request.into_parts();
-    let status = if !is_ready_probe(&parts) {
+    let status = if !is_readiness_probe(&parts) {
         StatusCode::NOT_FOUND
     } else if shared.is_ready() {
         StatusCode::OK
--- a/packages/turnford-serve/src/forward.rs
+++ b/packages/turnford-serve/src/forward.rs
@@ -10,8 +10,8 @@
 use http::Response;
 use http::StatusCode;
 
-use turnford_adapter::encode_order;
-use turnford_adapter::TargetOrder;
+use turnford_adapter::encode_forward;
+use turnford_adapter::ForwardContext;
 use turnford_policy::CallKind;
 use turnford_policy::ResultCode;
 use turnford_policy::TargetId;
@@ -202,15 +202,15 @@
     let record = job.record;
     let left = record.left();
     let is_engine = job.desk.spec.borrow().engine.is_some();
-    let order = TargetOrder {
+    let order = ForwardContext {
         instance: &target.id,
-        left,
+        remaining: left,
         account: record.account.as_deref(),
         rank: is_engine.then_some(record.rank),
         inputs: &job.results.handles,
-        last_event: None,
+        last_event_id: None,
     };
-    let request = encode_order(job.parts, job.body.clone(), &order).map_err(|problem| {
+    let request = encode_forward(job.parts, job.body.clone(), &order).map_err(|problem| {
         log::warn!("request={} not passed on: {problem}", record.facts.attempt);
         CallFault::NotSent("the request can't be passed on")
     })?;
--- a/packages/turnford-serve/src/gather.rs
+++ b/packages/turnford-serve/src/gather.rs
@@ -16,9 +16,9 @@
 use turnford_policy::RequestDigest;
 use turnford_policy::RANK_COUNT;
 use turnford_wire::InputEntry;
-use turnford_wire::PeerFault;
-use turnford_wire::PieceAsk;
-use turnford_wire::PieceReplyEnd;
+use turnford_wire::PeerError;
+use turnford_wire::PieceReplyItem;
+use turnford_wire::PieceRequest;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -131,23 +131,26 @@
     };
     match call.or(watch).await {
         Some(Ok(WorkReply::Pieces {
-            ends,
+            results,
             waits,
-            gave_up,
-        })) if ends.len() == works.len() => {
+            released,
+        })) if results.len() == works.len() => {
             let now = traffic.shared.now();
             state.heard.set(now);
             place.desk.note_waits(now, place.number, &waits);
-            let ends = ends.into_iter();
-            let outcomes = ends.map(|end| outcome_of(place, peer, end)).collect();
-            Some(PiecesEnd { outcomes, gave_up })
+            let results = results.into_iter();
+            let outcomes = results.map(|end| outcome_of(place, peer, end)).collect();
+            Some(PiecesEnd {
+                outcomes,
+                gave_up: released,
+            })
         }
         Some(Ok(_)) => {
             log::info!("node at {peer} takes no pieces");
             traffic.peers.mark_refusing(&state);
             None
         }
-        Some(Err(PeerFault::Late)) => {
+        Some(Err(PeerError::Timeout)) => {
             // The request's time is over, which says nothing of the node.
             Some(PiecesEnd {
                 outcomes: vec![PieceOutcome::Failed("its time was over"); works.len()],
@@ -163,28 +166,28 @@
     }
 }
 
-fn piece_ask(place: &CellPlace, works: &[PieceWork], now: Moment) -> Option<PieceAsk> {
+fn piece_ask(place: &CellPlace, works: &[PieceWork], now: Moment) -> Option<PieceRequest> {
     let first = works.first()?;
     let millis = |until: Moment| {
         let left = until.saturating_sub(now).as_millis();
         u64::try_from(left).unwrap_or(u64::MAX)
     };
-    Some(PieceAsk {
+    Some(PieceRequest {
         service: place.desk.spec.borrow().name.to_string(),
         cell: u32::try_from(place.number).unwrap_or(u32::MAX),
         attempt: first.attempt.to_string(),
         digest: first.digest.0,
         stage: u32::try_from(first.stage).unwrap_or(u32::MAX),
         pieces: works.iter().map(|work| work.piece).collect(),
-        key: first.piece_key.as_deref().map(str::to_owned),
+        piece_key: first.piece_key.as_deref().map(str::to_owned),
         inputs: first.inputs.to_vec(),
         last_use: Vec::new(),
-        left_ms: millis(first.deadline),
+        remaining_ms: millis(first.deadline),
         due_ms: millis(first.due),
         ranks: first.ranks,
         result_bytes: first.result_bytes,
         hall: first.hall.as_deref().map(str::to_owned),
-        patience_ms: u32::try_from(millis(first.hall_deadline)).unwrap_or(u32::MAX),
+        hall_wait_ms: u32::try_from(millis(first.hall_deadline)).unwrap_or(u32::MAX),
     })
 }
 
@@ -217,9 +220,9 @@
     known.collect()
 }
 
-fn outcome_of(place: &CellPlace, peer: SocketAddr, end: PieceReplyEnd) -> PieceOutcome {
+fn outcome_of(place: &CellPlace, peer: SocketAddr, end: PieceReplyItem) -> PieceOutcome {
     match end {
-        PieceReplyEnd::Made { handle, target } => {
+        PieceReplyItem::Completed { handle, target } => {
             // A target that left the list meanwhile keeps its result; the input's fetch will tell.
             let maker = place.desk.board.borrow().get(&target).cloned();
             match maker {
@@ -231,9 +234,9 @@
                 None => PieceOutcome::Failed("its target is gone"),
             }
         }
-        PieceReplyEnd::InputGone => PieceOutcome::InputGone,
-        PieceReplyEnd::Failed => PieceOutcome::Failed("the gathering node got no result"),
-        PieceReplyEnd::NotOffered => PieceOutcome::NotOffered,
+        PieceReplyItem::InputMissing => PieceOutcome::InputGone,
+        PieceReplyItem::Failed => PieceOutcome::Failed("the gathering node got no result"),
+        PieceReplyItem::NotScheduled => PieceOutcome::NotOffered,
     }
 }
 
@@ -255,11 +258,11 @@
         results: ids.collect(),
     };
     let reply = traffic.peers.call(peer, &request, RELEASE_LIMIT).await;
-    reply == Some(WorkReply::Noted)
+    reply == Some(WorkReply::Ack)
 }
 
 /// Answers pieces that another node hands over.
-pub(crate) async fn answer_pieces(traffic: &Rc<Traffic>, ask: PieceAsk) -> WorkReply {
+pub(crate) async fn answer_pieces(traffic: &Rc<Traffic>, ask: PieceRequest) -> WorkReply {
     let Some(desk) = traffic.desk(&ask.service) else {
         return WorkReply::Refused;
     };
@@ -278,20 +281,20 @@
     // What is not known here is given up by the node that asks.
     let knows_all = inputs.len() == ask.last_use.len();
     let end = run_here(traffic, &place, works, inputs).await;
-    let gave_up = end.gave_up && knows_all;
+    let released = end.gave_up && knows_all;
     let ends = end.outcomes.into_iter().map(|outcome| match outcome {
-        PieceOutcome::Made(result) => PieceReplyEnd::Made {
+        PieceOutcome::Made(result) => PieceReplyItem::Completed {
             handle: result.handle,
             target: result.maker.id.to_string(),
         },
-        PieceOutcome::InputGone => PieceReplyEnd::InputGone,
-        PieceOutcome::Failed(_) => PieceReplyEnd::Failed,
-        PieceOutcome::NotOffered => PieceReplyEnd::NotOffered,
+        PieceOutcome::InputGone => PieceReplyItem::InputMissing,
+        PieceOutcome::Failed(_) => PieceReplyItem::Failed,
+        PieceOutcome::NotOffered => PieceReplyItem::NotScheduled,
     });
     WorkReply::Pieces {
-        ends: ends.collect(),
+        results: ends.collect(),
         waits: told_waits(traffic, &place),
-        gave_up,
+        released,
     }
 }
 
@@ -317,21 +320,21 @@
     }
 }
 
-fn asked_works(ask: &PieceAsk, now: Moment) -> Vec<PieceWork> {
+fn asked_works(ask: &PieceRequest, now: Moment) -> Vec<PieceWork> {
     let first = PieceWork {
         digest: RequestDigest(ask.digest),
         is_suspect: false,
         attempt: ask.attempt.as_str().into(),
         stage: ask.stage as usize,
         piece: 0,
-        piece_key: ask.key.as_deref().map(Into::into),
+        piece_key: ask.piece_key.as_deref().map(Into::into),
         inputs: ask.inputs.clone().into(),
-        deadline: now + Duration::from_millis(ask.left_ms),
+        deadline: now + Duration::from_millis(ask.remaining_ms),
         due: now + Duration::from_millis(ask.due_ms),
         ranks: ask.ranks,
         result_bytes: ask.result_bytes,
         hall: ask.hall.as_deref().map(Into::into),
-        hall_deadline: now + Duration::from_millis(u64::from(ask.patience_ms)),
+        hall_deadline: now + Duration::from_millis(u64::from(ask.hall_wait_ms)),
     };
     let works = ask.pieces.iter().map(|&piece| PieceWork {
         piece,
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -14,7 +14,7 @@
 use turnford_adapter::encode_health;
 use turnford_fleet::Duty;
 use turnford_policy::TargetSpec;
-use turnford_wire::LeavingNews;
+use turnford_wire::LeavingUpdate;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -46,14 +46,14 @@
 const ANSWER_LIMIT: usize = 16 * 1024;
 
 /// Words of targets that are not told yet.
-pub(crate) type LeavingQueue = NewsQueue<LeavingNews>;
+pub(crate) type LeavingQueue = NewsQueue<LeavingUpdate>;
 
 /// Notes that a target said in an answer to this node that it leaves, and tells others.
 pub(crate) fn hear_leaving(traffic: &Rc<Traffic>, desk: &Rc<ServiceDesk>, target: &TargetSpec) {
-    let news = LeavingNews {
+    let news = LeavingUpdate {
         service: target.service.to_string(),
         target: target.id.to_string(),
-        born: target.process_start,
+        process_start: target.process_start,
     };
     if take_leaving(traffic, desk, &news, "an answer to this node") {
         tell_leaving(traffic, vec![news]);
@@ -64,12 +64,12 @@
 fn take_leaving(
     traffic: &Rc<Traffic>,
     desk: &Rc<ServiceDesk>,
-    news: &LeavingNews,
+    news: &LeavingUpdate,
     source: &str,
 ) -> bool {
     let now = traffic.shared.now();
     let mut board = desk.board.borrow_mut();
-    if !board.record_leaving(now, &news.target, news.born) {
+    if !board.record_leaving(now, &news.target, news.process_start) {
         return false;
     }
     drop(board);
@@ -77,13 +77,13 @@
         "target={} says that it leaves: service={} born={} from={source}",
         news.target,
         news.service,
-        news.born
+        news.process_start
     );
     traffic.refresh_pieces(desk);
     true
 }
 
-fn tell_leaving(traffic: &Rc<Traffic>, news: Vec<LeavingNews>) {
+fn tell_leaving(traffic: &Rc<Traffic>, news: Vec<LeavingUpdate>) {
     if traffic.leaving.add(news) {
         let tell = tell_untold(traffic.clone());
         traffic.executor.spawn(tell).detach();
@@ -102,7 +102,7 @@
 }
 
 /// Returns the nodes that choose targets of these services for others.
-fn doers_of(traffic: &Rc<Traffic>, news: &[LeavingNews]) -> BTreeSet<SocketAddr> {
+fn doers_of(traffic: &Rc<Traffic>, news: &[LeavingUpdate]) -> BTreeSet<SocketAddr> {
     let services: BTreeSet<&str> = news.iter().map(|news| &*news.service).collect();
     let duties = services.into_iter().flat_map(|service| {
         let cells = traffic.desk(service).map_or(0, |desk| desk.cell_count());
@@ -115,16 +115,16 @@
 }
 
 /// Takes another node's news, and passes on what is new.
-pub(crate) fn answer_leaving(traffic: &Rc<Traffic>, news: Vec<LeavingNews>) -> WorkReply {
-    let is_new = |news: &LeavingNews| {
+pub(crate) fn answer_leaving(traffic: &Rc<Traffic>, news: Vec<LeavingUpdate>) -> WorkReply {
+    let is_new = |news: &LeavingUpdate| {
         let desk = traffic.desk(&news.service);
         desk.is_some_and(|desk| take_leaving(traffic, &desk, news, "another node"))
     };
-    let new: Vec<LeavingNews> = news.into_iter().filter(is_new).collect();
+    let new: Vec<LeavingUpdate> = news.into_iter().filter(is_new).collect();
     if !new.is_empty() {
         tell_leaving(traffic, new);
     }
-    WorkReply::Noted
+    WorkReply::Ack
 }
 
 /// Asks targets that said that they leave, and are still listed as ready long after, whether they stay,
--- a/packages/turnford-serve/src/limit_news.rs
+++ b/packages/turnford-serve/src/limit_news.rs
@@ -17,8 +17,8 @@
 use turnford_policy::ProcessStart;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
-use turnford_wire::LimitNews;
 use turnford_wire::LimitReport;
+use turnford_wire::LimitUpdate;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -93,21 +93,21 @@
         service: limits.service.to_string(),
         term,
         target: target.to_string(),
-        born,
+        process_start: born,
         rate: heard.signal.rate(),
         sent_ms: age(heard.sent_at),
-        heard_ms: age(heard.received_at),
+        received_ms: age(heard.received_at),
     };
     let request = WorkRequest::LimitReport(report);
     let reply = limits.peers.call(peer, &request, ANSWER_LIMIT).await;
-    let Some(WorkReply::Limits { news, .. }) = reply else {
+    let Some(WorkReply::Limits { updates, .. }) = reply else {
         return false;
     };
-    for news in &news {
+    for news in &updates {
         limits.note_holder(&news.term);
         take_limits(limits, news);
     }
-    news.iter().any(|news| news.term.holder.work == peer)
+    updates.iter().any(|news| news.term.holder.work == peer)
 }
 
 /// Takes a word where this node divides; false if it does not.
@@ -140,26 +140,26 @@
             .map_or(LimitSignal::Unlimited, LimitSignal::Rate),
         // It was on its way for so long at most.
         sent_at: at(report.sent_ms).saturating_sub(ANSWER_LIMIT),
-        received_at: at(report.heard_ms),
+        received_at: at(report.received_ms),
     };
     let target: TargetId = report.target.as_str().into();
     let asked = report.term.as_ref();
-    note_word(limits, &target, report.born, heard, asked);
+    note_word(limits, &target, report.process_start, heard, asked);
     WorkReply::Limits {
-        news: own_news(limits).into_iter().collect(),
+        updates: own_news(limits).into_iter().collect(),
         behind: Vec::new(),
     }
 }
 
 /// Takes another node's news, and passes on what is new.
-pub(crate) fn answer_limits(limits: &Rc<ServiceLimits>, news: &LimitNews) {
+pub(crate) fn answer_limits(limits: &Rc<ServiceLimits>, news: &LimitUpdate) {
     if take_limits(limits, news) {
         limits.tell(&news.term, &news.entries);
     }
 }
 
 /// Takes what the node that divides said; true if anything is new.
-pub(crate) fn take_limits(limits: &ServiceLimits, news: &LimitNews) -> bool {
+pub(crate) fn take_limits(limits: &ServiceLimits, news: &LimitUpdate) -> bool {
     let is_later = limits.note_term(&news.term);
     let mut division = limits.division.borrow_mut();
     let is_told = division.term() == Some(&news.term) && division.divider().is_none();
@@ -168,7 +168,7 @@
 }
 
 /// Returns what this node knows of a service's limits, `None` if nobody divides them.
-pub(crate) fn own_news(limits: &ServiceLimits) -> Option<LimitNews> {
+pub(crate) fn own_news(limits: &ServiceLimits) -> Option<LimitUpdate> {
     let term = limits.division.borrow().term().cloned()?;
     let board = limits.board.borrow();
     let entries = board
@@ -179,7 +179,7 @@
             sequence,
             state,
         });
-    Some(LimitNews {
+    Some(LimitUpdate {
         service: limits.service.to_string(),
         term,
         entries: entries.take(NEWS_LIMIT).collect(),
--- a/packages/turnford-serve/src/limit_watch.rs
+++ b/packages/turnford-serve/src/limit_watch.rs
@@ -8,8 +8,8 @@
 use async_io::Timer;
 
 use turnford_policy::TargetId;
-use turnford_wire::LimitMark;
-use turnford_wire::LimitNews;
+use turnford_wire::LimitDigest;
+use turnford_wire::LimitUpdate;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -48,7 +48,7 @@
     let compared = desks
         .iter()
         .filter(|desk| is_new || desk.limits.is_divided.get());
-    let marks: Vec<LimitMark> = compared.map(|desk| desk.limits.mark()).collect();
+    let marks: Vec<LimitDigest> = compared.map(|desk| desk.limits.mark()).collect();
     if marks.is_empty() {
         return;
     }
@@ -67,19 +67,19 @@
     }
 }
 
-async fn compare_with(traffic: Rc<Traffic>, peer: SocketAddr, marks: Vec<LimitMark>) {
+async fn compare_with(traffic: Rc<Traffic>, peer: SocketAddr, marks: Vec<LimitDigest>) {
     let request = WorkRequest::LimitSync(marks);
     let reply = traffic.peers.call(peer, &request, ANSWER_LIMIT).await;
-    let Some(WorkReply::Limits { news, behind }) = reply else {
+    let Some(WorkReply::Limits { updates, behind }) = reply else {
         return;
     };
-    for news in &news {
+    for news in &updates {
         if let Some(desk) = traffic.desk(&news.service) {
             take_limits(&desk.limits, news);
         }
     }
     let desks = behind.iter().filter_map(|service| traffic.desk(service));
-    let news: Vec<LimitNews> = desks.filter_map(|desk| own_news(&desk.limits)).collect();
+    let news: Vec<LimitUpdate> = desks.filter_map(|desk| own_news(&desk.limits)).collect();
     if !news.is_empty() {
         let request = WorkRequest::Limits(news);
         traffic.peers.call(peer, &request, ANSWER_LIMIT).await;
@@ -87,8 +87,8 @@
 }
 
 /// Answers a node that compares what it knows.
-pub(crate) fn answer_limit_sync(traffic: &Traffic, marks: &[LimitMark]) -> WorkReply {
-    let mut news = Vec::new();
+pub(crate) fn answer_limit_sync(traffic: &Traffic, marks: &[LimitDigest]) -> WorkReply {
+    let mut updates = Vec::new();
     let mut behind = Vec::new();
     for mark in marks {
         let Some(desk) = traffic.desk(&mark.service) else {
@@ -102,10 +102,10 @@
             behind.push(mark.service.clone());
         }
         if own.term >= mark.term {
-            news.extend(own_news(&desk.limits));
+            updates.extend(own_news(&desk.limits));
         }
     }
-    WorkReply::Limits { news, behind }
+    WorkReply::Limits { updates, behind }
 }
 
 /// Does what a divider does without being asked.
--- a/packages/turnford-serve/src/limits.rs
+++ b/packages/turnford-serve/src/limits.rs
@@ -29,9 +29,9 @@
 use turnford_policy::ServiceId;
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
-use turnford_wire::LimitMark;
-use turnford_wire::LimitNews;
-use turnford_wire::PermitAsk;
+use turnford_wire::LimitDigest;
+use turnford_wire::LimitUpdate;
+use turnford_wire::PermitAcquire;
 use turnford_wire::PermitReply;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
@@ -220,7 +220,7 @@
             parts.push(&[]);
         }
         for part in parts {
-            let news = LimitNews {
+            let news = LimitUpdate {
                 service: self.service.to_string(),
                 term: term.clone(),
                 entries: part.to_vec(),
@@ -272,11 +272,11 @@
                     self.add_permit(&target.id, asked_at);
                     return PermitEnd::Granted;
                 }
-                PermitReply::Free => return PermitEnd::Unknown(UNHEARD_PAUSE),
+                PermitReply::Unlimited => return PermitEnd::Unknown(UNHEARD_PAUSE),
                 PermitReply::Wait { wait_ms } => {
                     return PermitEnd::Wait(Duration::from_millis(u64::from(wait_ms)));
                 }
-                PermitReply::Elsewhere(term) => self.note_holder(&term),
+                PermitReply::Redirect(term) => self.note_holder(&term),
             }
         }
         PermitEnd::Wait(UNHEARD_PAUSE)
@@ -302,7 +302,7 @@
     }
 
     /// Returns how new this node's knowledge is.
-    pub(crate) fn mark(&self) -> LimitMark {
+    pub(crate) fn mark(&self) -> LimitDigest {
         let mut sum = 0;
         for (target, _, sequence, _) in self.board.borrow().announced() {
             let mut hasher = SipHasher13::new();
@@ -310,7 +310,7 @@
             hasher.write_u64(sequence);
             sum ^= hasher.finish();
         }
-        LimitMark {
+        LimitDigest {
             service: self.service.to_string(),
             term: self.division.borrow().term().cloned(),
             sum,
@@ -325,22 +325,27 @@
         metrics.note_service(&self.service, ServiceEvent::Permit);
     }
 
-    fn permit_ask(&self, target: &TargetId, born: ProcessStart, purpose: PermitUse) -> PermitAsk {
-        PermitAsk {
+    fn permit_ask(
+        &self,
+        target: &TargetId,
+        born: ProcessStart,
+        purpose: PermitUse,
+    ) -> PermitAcquire {
+        PermitAcquire {
             service: self.service.to_string(),
             term: self.division.borrow().term().cloned(),
             target: target.to_string(),
-            born,
+            process_start: born,
             state: self.board.borrow().state(target),
             purpose,
         }
     }
 
     /// Answers an ask for a permit.
-    pub(crate) fn grant(&self, ask: &PermitAsk) -> PermitReply {
+    pub(crate) fn grant(&self, ask: &PermitAcquire) -> PermitReply {
         match self.enter(ask.term.as_ref()) {
             DivisionRole::Divides { .. } => {}
-            DivisionRole::Elsewhere(term) => return PermitReply::Elsewhere(term),
+            DivisionRole::Elsewhere(term) => return PermitReply::Redirect(term),
             DivisionRole::Doubted(_) => return wait_reply(DOUBT_PAUSE),
         }
         let now = self.peers.shared.now();
@@ -348,9 +353,14 @@
         let Some(divider) = division.divider() else {
             return wait_reply(UNHEARD_PAUSE);
         };
-        divider.adopt(now, &ask.target.as_str().into(), ask.born, ask.state);
+        divider.adopt(
+            now,
+            &ask.target.as_str().into(),
+            ask.process_start,
+            ask.state,
+        );
         if !divider.is_limited(now, &ask.target) {
-            return PermitReply::Free;
+            return PermitReply::Unlimited;
         }
         match divider.take(now, &ask.target, ask.purpose) {
             Ok(()) => PermitReply::Granted,
--- a/packages/turnford-serve/src/peers.rs
+++ b/packages/turnford-serve/src/peers.rs
@@ -188,7 +188,7 @@
         if state.waiting.get() == 0 || silence < SILENCE_SPAN {
             continue;
         }
-        let request = WorkRequest::Alive;
+        let request = WorkRequest::Probe;
         if peers.call(peer, &request, ALIVE_LIMIT).await.is_none() {
             break;
         }
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -10,7 +10,7 @@
 use async_channel::Sender;
 use async_io::Timer;
 
-use turnford_adapter::PieceEnd;
+use turnford_adapter::PieceStatus;
 use turnford_fleet::CrashVerdict;
 use turnford_fleet::PermitUse;
 use turnford_policy::BatchPlan;
@@ -288,21 +288,21 @@
     }
 
     /// Tells the requests how their pieces ended.
-    pub(crate) fn end_pieces(&self, target: &TargetSpec, plan: BatchPlan, ends: Vec<PieceEnd>) {
+    pub(crate) fn end_pieces(&self, target: &TargetSpec, plan: BatchPlan, ends: Vec<PieceStatus>) {
         for ((ticket, work), end) in plan.pieces.into_iter().zip(ends) {
-            if end == PieceEnd::NoRoom && self.wait_for_room(&target.id, ticket, &work) {
+            if end == PieceStatus::NoSpace && self.wait_for_room(&target.id, ticket, &work) {
                 continue;
             }
             let outcome = match end {
-                PieceEnd::Made(handle) => PieceOutcome::Made(PieceResult {
+                PieceStatus::Completed(handle) => PieceOutcome::Made(PieceResult {
                     handle,
                     maker: target.clone(),
                     gatherer: None,
                 }),
-                PieceEnd::InputGone => PieceOutcome::InputGone,
-                PieceEnd::Late => PieceOutcome::Failed("its time was over at its turn"),
-                PieceEnd::NoRoom => PieceOutcome::Failed("no room for the result"),
-                PieceEnd::Failed => PieceOutcome::Failed("the target failed at it"),
+                PieceStatus::InputMissing => PieceOutcome::InputGone,
+                PieceStatus::Expired => PieceOutcome::Failed("its time was over at its turn"),
+                PieceStatus::NoSpace => PieceOutcome::Failed("no room for the result"),
+                PieceStatus::Failed => PieceOutcome::Failed("the target failed at it"),
             };
             if let Some(PieceOutcome::Made(result)) = self.pieces.tell(ticket, outcome) {
                 release_results(&self.traffic, vec![result]);
--- a/packages/turnford-serve/src/placed_run.rs
+++ b/packages/turnford-serve/src/placed_run.rs
@@ -7,7 +7,7 @@
 use turnford_policy::Moment;
 use turnford_policy::RunTicket;
 use turnford_policy::TargetSpec;
-use turnford_wire::RunNews;
+use turnford_wire::RunUpdate;
 
 use crate::desk::ServiceDesk;
 use crate::line::LinePlace;
@@ -38,21 +38,21 @@
             let now = run.placer.traffic.shared.now();
             let span = now.saturating_sub(run.placed).as_millis();
             let span = u32::try_from(span).unwrap_or(u32::MAX);
-            run.placer.tell(RunNews::Begun(run.ticket, span));
+            run.placer.tell(RunUpdate::Started(run.ticket, span));
         }
     }
 
     /// Notes that the target could not be reached or did not take the request.
     pub(crate) fn note_refused(&self) {
         if let Some(run) = &self.run {
-            run.placer.tell(RunNews::Refused(run.ticket));
+            run.placer.tell(RunUpdate::Refused(run.ticket));
         }
     }
 }
 
 impl Drop for NotedRun {
     fn drop(&mut self) {
-        self.placer.tell(RunNews::Ended(self.ticket));
+        self.placer.tell(RunUpdate::Ended(self.ticket));
     }
 }
 
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -10,9 +10,9 @@
 use turnford_policy::PlacementRequest;
 use turnford_policy::PromptSegment;
 use turnford_policy::RequestDigest;
-use turnford_wire::PlaceAsk;
 use turnford_wire::PlaceReply;
-use turnford_wire::PlaceTurn;
+use turnford_wire::PlaceRequest;
+use turnford_wire::QueueEntry;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -57,22 +57,22 @@
     digest: RequestDigest,
     need: &PlacementRequest,
     turn: &TurnAsk,
-) -> PlaceAsk {
+) -> PlaceRequest {
     let millis = |until: Moment| {
         let left = until.saturating_sub(now).as_millis();
         u64::try_from(left).unwrap_or(u64::MAX)
     };
     let short = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-    PlaceAsk {
+    PlaceRequest {
         service: desk.spec.borrow().name.to_string(),
         digest: digest.0,
-        parts: need
+        segments: need
             .segments
             .iter()
             .map(|part| (part.id, part.tokens))
             .collect(),
         prompt_tokens: need.prompt_tokens,
-        answer_tokens: need.max_output_tokens,
+        max_output_tokens: need.max_output_tokens,
         inputs: need
             .inputs
             .iter()
@@ -80,13 +80,13 @@
             .collect(),
         tried: need.tried.iter().map(ToString::to_string).collect(),
         due_ms: millis(need.due),
-        left_ms: millis(need.deadline),
+        remaining_ms: millis(need.deadline),
         term: desk.limits.division.borrow().term().cloned(),
-        turn: PlaceTurn {
+        entry: QueueEntry {
             number: turn.number,
             ranks: turn.ranks,
             waited_ms: short(now.saturating_sub(turn.begun)),
-            patience_ms: short(turn.latest.saturating_sub(now)),
+            send_deadline_ms: short(turn.latest.saturating_sub(now)),
         },
     }
 }
@@ -101,7 +101,7 @@
 ) -> Option<FoundPlace> {
     let span = |millis: u32| Duration::from_millis(u64::from(millis));
     match reply {
-        PlaceReply::At {
+        PlaceReply::Assigned {
             target: id,
             ticket,
             is_alone,
@@ -131,22 +131,22 @@
                 run: Some(run),
             })))
         }
-        PlaceReply::Later { wait_ms } => Some(FoundPlace::Later(span(wait_ms))),
-        PlaceReply::Full { back_ms } => Some(FoundPlace::Full(span(back_ms))),
-        PlaceReply::Elsewhere(term) => {
+        PlaceReply::Wait { wait_ms } => Some(FoundPlace::Later(span(wait_ms))),
+        PlaceReply::Full { retry_after_ms } => Some(FoundPlace::Full(span(retry_after_ms))),
+        PlaceReply::Redirect(term) => {
             desk.limits.note_holder(&term);
             Some(FoundPlace::Later(ELSEWHERE_PAUSE))
         }
-        PlaceReply::Nowhere => None,
+        PlaceReply::NoTarget => None,
         PlaceReply::Held => Some(FoundPlace::Held),
-        PlaceReply::Refused { back_ms } => {
-            Some(FoundPlace::Refused(Duration::from_millis(back_ms)))
+        PlaceReply::Refused { retry_after_ms } => {
+            Some(FoundPlace::Refused(Duration::from_millis(retry_after_ms)))
         }
     }
 }
 
 /// Answers a request to place.
-pub(crate) fn answer_place(traffic: &Rc<Traffic>, ask: PlaceAsk) -> WorkReply {
+pub(crate) fn answer_place(traffic: &Rc<Traffic>, ask: PlaceRequest) -> WorkReply {
     let Some(desk) = traffic.desk(&ask.service) else {
         return WorkReply::Refused;
     };
@@ -154,11 +154,11 @@
         match desk.limits.enter(ask.term.as_ref()) {
             DivisionRole::Divides { .. } => {}
             DivisionRole::Elsewhere(term) => {
-                return WorkReply::Placed(PlaceReply::Elsewhere(term));
+                return WorkReply::Placed(PlaceReply::Redirect(term));
             }
             DivisionRole::Doubted(_) => {
                 let wait_ms = short_millis(DOUBT_PAUSE);
-                return WorkReply::Placed(PlaceReply::Later { wait_ms });
+                return WorkReply::Placed(PlaceReply::Wait { wait_ms });
             }
         }
     }
@@ -170,7 +170,7 @@
         CheckedPlace::Found { place, is_alone } => found_reply(place, is_alone),
         CheckedPlace::Held => PlaceReply::Held,
         CheckedPlace::Refused(span) => PlaceReply::Refused {
-            back_ms: u64::try_from(span.as_millis()).unwrap_or(u64::MAX),
+            retry_after_ms: u64::try_from(span.as_millis()).unwrap_or(u64::MAX),
         },
     };
     WorkReply::Placed(reply)
@@ -182,44 +182,44 @@
             target,
             ticket,
             has_permit,
-        } => PlaceReply::At {
+        } => PlaceReply::Assigned {
             target: target.id.to_string(),
             ticket,
             is_alone,
             has_permit,
         },
-        LimitedPlace::Later(span) => PlaceReply::Later {
+        LimitedPlace::Later(span) => PlaceReply::Wait {
             wait_ms: short_millis(span),
         },
         LimitedPlace::Full(span) => PlaceReply::Full {
-            back_ms: short_millis(span),
+            retry_after_ms: short_millis(span),
         },
-        LimitedPlace::Nowhere => PlaceReply::Nowhere,
+        LimitedPlace::Nowhere => PlaceReply::NoTarget,
     }
 }
 
-fn asked_turn(ask: &PlaceAsk, now: Moment) -> TurnAsk {
+fn asked_turn(ask: &PlaceRequest, now: Moment) -> TurnAsk {
     let span = |millis: u32| Duration::from_millis(u64::from(millis));
     TurnAsk {
-        number: ask.turn.number,
-        ranks: ask.turn.ranks,
-        begun: now.saturating_sub(span(ask.turn.waited_ms)),
-        latest: now + span(ask.turn.patience_ms),
+        number: ask.entry.number,
+        ranks: ask.entry.ranks,
+        begun: now.saturating_sub(span(ask.entry.waited_ms)),
+        latest: now + span(ask.entry.send_deadline_ms),
     }
 }
 
-fn asked_need(ask: PlaceAsk, now: Moment) -> PlacementRequest {
-    let parts = ask.parts.into_iter();
+fn asked_need(ask: PlaceRequest, now: Moment) -> PlacementRequest {
+    let parts = ask.segments.into_iter();
     let inputs = ask.inputs.into_iter();
     PlacementRequest {
         segments: parts
             .map(|(id, tokens)| PromptSegment { id, tokens })
             .collect(),
         prompt_tokens: ask.prompt_tokens,
-        max_output_tokens: ask.answer_tokens,
+        max_output_tokens: ask.max_output_tokens,
         inputs: inputs.map(|(hall, bytes)| (hall.into(), bytes)).collect(),
         tried: ask.tried.into_iter().map(Into::into).collect(),
         due: now + Duration::from_millis(ask.due_ms),
-        deadline: now + Duration::from_millis(ask.left_ms),
+        deadline: now + Duration::from_millis(ask.remaining_ms),
     }
 }
--- a/packages/turnford-serve/src/progress.rs
+++ b/packages/turnford-serve/src/progress.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 
 use turnford_policy::ServiceId;
-use turnford_wire::RunNews;
+use turnford_wire::RunUpdate;
 use turnford_wire::WorkRequest;
 
 use crate::desk::ServiceDesk;
@@ -30,7 +30,7 @@
 }
 
 impl PlacerLink {
-    pub(crate) fn tell(&self, news: RunNews) {
+    pub(crate) fn tell(&self, news: RunUpdate) {
         match self.address {
             Some(placer) => {
                 let service = self.desk.spec.borrow().name.clone();
@@ -44,11 +44,11 @@
 /// News of placed requests that is not told yet.
 #[derive(Default)]
 pub(crate) struct ProgressQueue {
-    waiting: RefCell<HashMap<(SocketAddr, ServiceId), Vec<RunNews>>>,
+    waiting: RefCell<HashMap<(SocketAddr, ServiceId), Vec<RunUpdate>>>,
 }
 
 /// Answers news of placed requests.
-pub(crate) fn answer_progress(traffic: &Traffic, service: &str, news: &[RunNews]) {
+pub(crate) fn answer_progress(traffic: &Traffic, service: &str, news: &[RunUpdate]) {
     if let Some(desk) = traffic.desk(service) {
         for news in news {
             note_news(traffic, &desk, *news);
@@ -56,11 +56,11 @@
     }
 }
 
-fn note_news(traffic: &Traffic, desk: &ServiceDesk, news: RunNews) {
+fn note_news(traffic: &Traffic, desk: &ServiceDesk, news: RunUpdate) {
     let now = traffic.shared.now();
     let mut engines = desk.engines.borrow_mut();
     match news {
-        RunNews::Begun(ticket, span) => {
+        RunUpdate::Started(ticket, span) => {
             let span = Duration::from_millis(u64::from(span));
             let slowness = engines.record_first_event(ticket, span);
             if let (Some(slowness), Some(target)) = (slowness, engines.target_of(ticket)) {
@@ -68,26 +68,26 @@
                 board.record_slowness(now, target, slowness);
             }
         }
-        RunNews::Refused(ticket) => {
+        RunUpdate::Refused(ticket) => {
             if let Some(target) = engines.target_of(ticket) {
                 desk.board.borrow_mut().record_refusal(now, target);
             }
         }
-        RunNews::Ended(ticket) => {
+        RunUpdate::Ended(ticket) => {
             engines.record_end(ticket);
             desk.trials.borrow_mut().end(ticket);
         }
-        RunNews::StageDone(ticket, stage) => {
+        RunUpdate::StageDone(ticket, stage) => {
             desk.flow
                 .borrow_mut()
                 .record_stage_done(ticket, stage as usize);
         }
-        RunNews::StagesEnded(ticket) => desk.flow.borrow_mut().record_end(ticket),
+        RunUpdate::StagesEnded(ticket) => desk.flow.borrow_mut().record_end(ticket),
     }
 }
 
 /// Tells the node that placed a request what became of it, soon.
-fn tell_progress(traffic: &Rc<Traffic>, placer: SocketAddr, service: ServiceId, news: RunNews) {
+fn tell_progress(traffic: &Rc<Traffic>, placer: SocketAddr, service: ServiceId, news: RunUpdate) {
     let place = (placer, service);
     let mut waiting = traffic.progress.waiting.borrow_mut();
     let queue = waiting.entry(place.clone()).or_default();
@@ -103,7 +103,7 @@
     let news = traffic.progress.waiting.borrow_mut().remove(&place);
     let request = WorkRequest::Progress {
         service: place.1.to_string(),
-        news: news.unwrap_or_default(),
+        updates: news.unwrap_or_default(),
     };
     // A node that does not hear it forgets the requests after their deadline.
     traffic.peers.call(place.0, &request, NEWS_LIMIT).await;
--- a/packages/turnford-serve/src/resting.rs
+++ b/packages/turnford-serve/src/resting.rs
@@ -11,7 +11,7 @@
 
 use turnford_fleet::Duty;
 use turnford_policy::TargetSpec;
-use turnford_wire::RestNews;
+use turnford_wire::BackoffUpdate;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -57,22 +57,22 @@
     let peers: BTreeSet<SocketAddr> = duties
         .filter_map(|duty| traffic.peers.doer_of(&duty))
         .collect();
-    let news = RestNews {
+    let news = BackoffUpdate {
         service: target.service.to_string(),
         target: target.id.to_string(),
-        born: target.process_start,
-        rest_ms: u64::try_from(rest.as_millis()).unwrap_or(u64::MAX),
+        process_start: target.process_start,
+        backoff_ms: u64::try_from(rest.as_millis()).unwrap_or(u64::MAX),
     };
-    tell_peers(&traffic.peers, peers, &WorkRequest::Resting(news));
+    tell_peers(&traffic.peers, peers, &WorkRequest::Backoff(news));
 }
 
 /// Takes the news of a node that gathers.
-pub(crate) fn answer_rest(traffic: &Traffic, news: &RestNews) -> WorkReply {
+pub(crate) fn answer_rest(traffic: &Traffic, news: &BackoffUpdate) -> WorkReply {
     if let Some(desk) = traffic.desk(&news.service) {
         let now = traffic.shared.now();
-        let rest = Duration::from_millis(news.rest_ms);
+        let rest = Duration::from_millis(news.backoff_ms);
         let mut board = desk.board.borrow_mut();
-        board.record_batcher_backoff(now, &news.target, news.born, rest);
+        board.record_batcher_backoff(now, &news.target, news.process_start, rest);
     }
-    WorkReply::Noted
+    WorkReply::Ack
 }
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -10,7 +10,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 
-use turnford_http::LinkShelf;
+use turnford_http::ConnectionPool;
 use turnford_policy::RetryAllowance;
 use turnford_policy::ServiceId;
 use turnford_policy::ServiceSpec;
@@ -34,7 +34,7 @@
 pub(crate) struct Traffic {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) shared: Arc<ServeShared>,
-    pub(crate) shelf: RefCell<LinkShelf>,
+    pub(crate) shelf: RefCell<ConnectionPool>,
     pub(crate) releaser: ResultReleaser,
     /// The other nodes.
     pub(crate) peers: Rc<PeerLinks>,
@@ -150,7 +150,7 @@
             if listed.is_some_and(|listed| listed.process_start == target.process_start) {
                 continue;
             }
-            self.shelf.borrow_mut().forget(target.address);
+            self.shelf.borrow_mut().close_all(target.address);
             if listed.is_none() && target.leaving {
                 self.crashes.note_left(&target);
             }
@@ -217,6 +217,6 @@
     loop {
         Timer::after(SWEEP_PAUSE).await;
         let now = traffic.shared.now();
-        traffic.shelf.borrow_mut().sweep(now);
+        traffic.shelf.borrow_mut().close_expired(now);
     }
 }
--- a/packages/turnford-serve/src/words.rs
+++ b/packages/turnford-serve/src/words.rs
@@ -6,8 +6,8 @@
 use http::response::Parts;
 
 use turnford_adapter::decode_limit;
-use turnford_adapter::decode_word;
-use turnford_adapter::TargetWord;
+use turnford_adapter::decode_signal;
+use turnford_adapter::TargetSignal;
 use turnford_policy::LimitObservation;
 use turnford_policy::Moment;
 use turnford_policy::TargetSpec;
@@ -27,17 +27,17 @@
     parts: &Parts,
     attempt: Option<&str>,
     sent: Moment,
-) -> TargetWord {
-    let word = decode_word(parts, attempt).unwrap_or_else(|(word, problem)| {
+) -> TargetSignal {
+    let word = decode_signal(parts, attempt).unwrap_or_else(|(word, problem)| {
         log::warn!("target={} asks for rest: {problem}", target.id);
         word
     });
     let metrics = &traffic.shared.metrics;
-    if word.leaves {
+    if word.is_leaving {
         metrics.note_service(&target.service, ServiceEvent::SaidLeaving);
         hear_leaving(traffic, desk, target);
     }
-    if let Some(rest) = word.rest {
+    if let Some(rest) = word.backoff {
         metrics.note_service(&target.service, ServiceEvent::AskedForRest);
         log::info!(
             "target={} asks for rest of {}ms: request={}",
--- a/packages/turnford-serve/src/work.rs
+++ b/packages/turnford-serve/src/work.rs
@@ -10,7 +10,7 @@
 use async_net::TcpListener;
 
 use turnford_wire::accept_peers;
-use turnford_wire::GivenUpCall;
+use turnford_wire::CancelPolicy;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -35,13 +35,13 @@
     let executor = traffic.executor.clone();
     let handler = move |request| answer_work(traffic.clone(), request);
     let refusal = || WorkReply::Refused;
-    accept_peers(listener, executor, GivenUpCall::Dropped, refusal, handler).await;
+    accept_peers(listener, executor, CancelPolicy::Drop, refusal, handler).await;
 }
 
 async fn answer_work(traffic: Rc<Traffic>, request: WorkRequest) -> WorkReply {
     traffic.current_view();
     match request {
-        WorkRequest::Alive => WorkReply::Noted,
+        WorkRequest::Probe => WorkReply::Ack,
         // Another node gathers from now on.
         WorkRequest::Pieces(_)
         | WorkRequest::Admit(_)
@@ -77,18 +77,21 @@
                     answer_limits(&limits, news);
                 }
             }
-            WorkReply::Noted
+            WorkReply::Ack
         }
         WorkRequest::LimitSync(marks) => answer_limit_sync(&traffic, &marks),
         WorkRequest::Leaving(news) => answer_leaving(&traffic, news),
-        WorkRequest::Resting(news) => answer_rest(&traffic, &news),
-        WorkRequest::Progress { service, news } => {
+        WorkRequest::Backoff(news) => answer_rest(&traffic, &news),
+        WorkRequest::Progress {
+            service,
+            updates: news,
+        } => {
             answer_progress(&traffic, &service, &news);
-            WorkReply::Noted
+            WorkReply::Ack
         }
         WorkRequest::Release { service, results } => {
             answer_release(&traffic, &service, results);
-            WorkReply::Noted
+            WorkReply::Ack
         }
     }
 }
--- a/packages/turnford-serve/tests/common/mod.rs
+++ b/packages/turnford-serve/tests/common/mod.rs
@@ -14,9 +14,9 @@
 use turnford_config::LogSettings;
 use turnford_config::RepeatSettings;
 use turnford_config::ServeSettings;
-use turnford_http::HttpAnswer;
+use turnford_http::BufferedResponse;
 use turnford_http::HttpClient;
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 use turnford_http::HttpRequest;
 use turnford_serve::ServeNode;
 use turnford_standin::start_threads;
@@ -147,7 +147,7 @@
     }
 
     /// Sends a request to a node and reads its whole answer.
-    pub(crate) fn call(&self, node: usize, ask: Ask<'_>) -> Result<HttpAnswer, HttpFault> {
+    pub(crate) fn call(&self, node: usize, ask: Ask<'_>) -> Result<BufferedResponse, HttpError> {
         let to = self.nodes[node].settings.listen;
         let request = ask.request(to);
         async_io::block_on(self.client.send(to, request, LIMIT))
@@ -330,6 +330,6 @@
 }
 
 /// Returns an answer's body as text.
-pub(crate) fn text(answer: &HttpAnswer) -> String {
+pub(crate) fn text(answer: &BufferedResponse) -> String {
     String::from_utf8(answer.body.clone()).expect("text")
 }
--- a/packages/turnford-serve/tests/truthful_ends.rs
+++ b/packages/turnford-serve/tests/truthful_ends.rs
@@ -9,7 +9,7 @@
 use common::RouteSite;
 use common::ENGINE;
 use common::QUICK;
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 use turnford_standin::DoorState;
 use turnford_standin::TargetFault;
 
@@ -107,7 +107,7 @@
     let node = site.node("one");
     target.fail_next([TargetFault::Cut]);
     let end = site.call(node, Ask::new("a1", "/draft/"));
-    assert_eq!(end.map(|answer| answer.body), Err(HttpFault::Truncated));
+    assert_eq!(end.map(|answer| answer.body), Err(HttpError::Truncated));
 }
 
 #[test]
--- a/packages/turnford-standin/src/fleet.rs
+++ b/packages/turnford-standin/src/fleet.rs
@@ -10,7 +10,7 @@
 use async_net::TcpListener;
 use turnford_http::bind_listener;
 use turnford_http::serve_connection;
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 use turnford_http::DEFAULT_BODY_LIMIT;
 use turnford_platform::VmEntry;
@@ -127,7 +127,7 @@
     handler: F,
 ) -> io::Result<SocketAddr>
 where
-    F: Fn(HttpCall) -> Fut + Clone + Send + Sync + 'static,
+    F: Fn(BufferedRequest) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Option<HttpResponse>> + Send + 'static,
 {
     let listener = bind_loopback(port)?;
@@ -138,7 +138,7 @@
 
 fn spawn_listener<F, Fut>(listener: TcpListener, executor: &SharedExecutor, handler: F)
 where
-    F: Fn(HttpCall) -> Fut + Clone + Send + Sync + 'static,
+    F: Fn(BufferedRequest) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Option<HttpResponse>> + Send + 'static,
 {
     let connections = executor.clone();
--- a/packages/turnford-standin/src/load.rs
+++ b/packages/turnford-standin/src/load.rs
@@ -17,7 +17,7 @@
 use rand::SeedableRng;
 use serde::Deserialize;
 use turnford_http::HttpClient;
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 use turnford_http::HttpRequest;
 
 use crate::audit::audit_run;
@@ -245,11 +245,11 @@
         first_token: None,
         started: plan.started,
     };
-    let mut answer = Err(HttpFault::NotConnected);
+    let mut answer = Err(HttpError::NotConnected);
     for node in balancer.order() {
         answer = exchange(client, node, &plan, &mut record).await;
         // Only a call that was surely not sent goes to another node.
-        if !matches!(answer, Err(HttpFault::NotConnected)) {
+        if !matches!(answer, Err(HttpError::NotConnected)) {
             break;
         }
     }
@@ -268,7 +268,7 @@
     node: SocketAddr,
     plan: &RequestPlan,
     record: &mut RequestRecord,
-) -> Result<AnswerBody, HttpFault> {
+) -> Result<AnswerBody, HttpError> {
     let path = format!("/v1/pipelines/{}", plan.traffic.template);
     let mut request = HttpClient::request(Method::POST, node, &path)?;
     request.insert_header(
@@ -288,7 +288,7 @@
         return read_events(client, node, plan, request, limit, record).await;
     }
     let answer = client.send(node, request, limit).await?;
-    serde_json::from_slice(&answer.body).map_err(|_| HttpFault::Broken)
+    serde_json::from_slice(&answer.body).map_err(|_| HttpError::Disconnected)
 }
 
 /// Reads server-sent events until the last one, which carries the code.
@@ -299,28 +299,30 @@
     request: HttpRequest,
     limit: Duration,
     record: &mut RequestRecord,
-) -> Result<AnswerBody, HttpFault> {
+) -> Result<AnswerBody, HttpError> {
     let mut stream = client.open(node, request, limit).await?;
     if stream.status != 200 {
         let body = stream.read_body().await?;
-        return serde_json::from_slice(&body).map_err(|_| HttpFault::Broken);
+        return serde_json::from_slice(&body).map_err(|_| HttpError::Disconnected);
     }
     let mut text = String::new();
     while let Some(line) = stream.next_line().await? {
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
-        let value: serde_json::Value = serde_json::from_str(data).map_err(|_| HttpFault::Broken)?;
+        let value: serde_json::Value =
+            serde_json::from_str(data).map_err(|_| HttpError::Disconnected)?;
         if let Some(token) = value.get("token").and_then(|token| token.as_str()) {
             record.first_token.get_or_insert_with(|| plan.due.elapsed());
             text.push_str(token);
             continue;
         }
-        let mut body: AnswerBody = serde_json::from_str(data).map_err(|_| HttpFault::Broken)?;
+        let mut body: AnswerBody =
+            serde_json::from_str(data).map_err(|_| HttpError::Disconnected)?;
         body.output = text;
         return Ok(body);
     }
-    Err(HttpFault::Truncated)
+    Err(HttpError::Truncated)
 }
 
 async fn read_journal(
--- a/packages/turnford-standin/src/objects.rs
+++ b/packages/turnford-standin/src/objects.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use http::StatusCode;
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 use turnford_platform::ObjectList;
 
@@ -74,7 +74,7 @@
     }
 
     /// Answers one call.
-    pub(crate) async fn handle(&self, call: HttpCall) -> Option<HttpResponse> {
+    pub(crate) async fn handle(&self, call: BufferedRequest) -> Option<HttpResponse> {
         if self.faults.active(FaultKind::Outage, &[PLATFORM]).is_some() {
             return Some(HttpResponse::new(StatusCode::SERVICE_UNAVAILABLE));
         }
@@ -91,7 +91,7 @@
         Some(answer)
     }
 
-    async fn answer(&self, call: &HttpCall, key: Option<String>) -> Option<HttpResponse> {
+    async fn answer(&self, call: &BufferedRequest, key: Option<String>) -> Option<HttpResponse> {
         match (call.method.as_str(), key) {
             ("GET", Some(key)) => Some(self.get(&key)),
             ("PUT", Some(key)) => self.write(call, |store, expected| {
@@ -123,7 +123,7 @@
     /// Writes, and loses the answer afterwards where a fault says so.
     fn write(
         &self,
-        call: &HttpCall,
+        call: &BufferedRequest,
         change: impl FnOnce(&mut ObjectStore, Option<u64>) -> Result<u64, StoreFault>,
     ) -> Option<HttpResponse> {
         let expected = call.header("if-version").and_then(|text| text.parse().ok());
@@ -147,7 +147,7 @@
         Some(response)
     }
 
-    async fn watch(&self, call: &HttpCall) -> HttpResponse {
+    async fn watch(&self, call: &BufferedRequest) -> HttpResponse {
         let prefix = call.query("prefix").unwrap_or("").to_owned();
         let after = call.query_number("after", 0);
         let wait_ms = call.query_number("wait_ms", 0).min(LONGEST_WATCH_MS);
--- a/packages/turnford-standin/src/route/door.rs
+++ b/packages/turnford-standin/src/route/door.rs
@@ -11,7 +11,7 @@
 use async_net::TcpListener;
 use turnford_http::bind_listener;
 use turnford_http::serve_connection;
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 use turnford_http::DEFAULT_BODY_LIMIT;
 
@@ -38,7 +38,7 @@
     /// Listens on an address and serves whoever connects; port 0 lets the system choose.
     pub(crate) fn open<F, Fut>(&self, address: SocketAddr, handler: F) -> io::Result<SocketAddr>
     where
-        F: Fn(HttpCall) -> Fut + Clone + Send + Sync + 'static,
+        F: Fn(BufferedRequest) -> Fut + Clone + Send + Sync + 'static,
         Fut: Future<Output = Option<HttpResponse>> + Send + 'static,
     {
         let listener = bind_listener(address)?;
@@ -62,7 +62,7 @@
     listener: TcpListener,
     handler: F,
 ) where
-    F: Fn(HttpCall) -> Fut + Clone + Send + Sync + 'static,
+    F: Fn(BufferedRequest) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Option<HttpResponse>> + Send + 'static,
 {
     while let Ok((stream, _)) = listener.accept().await {
--- a/packages/turnford-standin/src/route/meta.rs
+++ b/packages/turnford-standin/src/route/meta.rs
@@ -14,7 +14,7 @@
 use http::StatusCode;
 use serde_json::json;
 use serde_json::Value;
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 
 use crate::fleet::serve;
@@ -161,13 +161,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn handle(&self, door: usize, call: HttpCall) -> Option<HttpResponse> {
+    async fn handle(&self, door: usize, call: BufferedRequest) -> Option<HttpResponse> {
         let mut answer = self.answer(door, call).await?;
         answer.insert_header("store-era", self.lock().era.to_string());
         Some(answer)
     }
 
-    async fn answer(&self, door: usize, call: HttpCall) -> Option<HttpResponse> {
+    async fn answer(&self, door: usize, call: BufferedRequest) -> Option<HttpResponse> {
         let state = {
             let mut state = self.lock();
             state.calls[door] += 1;
@@ -226,7 +226,7 @@
         }
     }
 
-    async fn watch(&self, kind: &str, call: &HttpCall) -> HttpResponse {
+    async fn watch(&self, kind: &str, call: &BufferedRequest) -> HttpResponse {
         let from = call.query_number("watch", 0);
         let wait = Duration::from_millis(call.query_number("wait_ms", 0));
         let begun = Instant::now();
@@ -259,7 +259,7 @@
         Some(json_answer(StatusCode::OK, &body))
     }
 
-    fn create(&self, kind: &str, call: &HttpCall) -> HttpResponse {
+    fn create(&self, kind: &str, call: &BufferedRequest) -> HttpResponse {
         let Ok(body) = serde_json::from_slice::<Value>(&call.body) else {
             return HttpResponse::new(StatusCode::BAD_REQUEST);
         };
@@ -275,7 +275,7 @@
         json_answer(StatusCode::OK, &json!({}))
     }
 
-    fn replace(&self, kind: &str, name: &str, call: &HttpCall) -> HttpResponse {
+    fn replace(&self, kind: &str, name: &str, call: &BufferedRequest) -> HttpResponse {
         let Ok(body) = serde_json::from_slice::<Value>(&call.body) else {
             return HttpResponse::new(StatusCode::BAD_REQUEST);
         };
--- a/packages/turnford-standin/src/route/piece.rs
+++ b/packages/turnford-standin/src/route/piece.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use serde_json::json;
 use serde_json::Value;
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 
 use super::meta::json_answer;
@@ -33,7 +33,7 @@
 }
 
 impl TargetState {
-    pub(super) fn release(&self, call: &HttpCall) -> HttpResponse {
+    pub(super) fn release(&self, call: &BufferedRequest) -> HttpResponse {
         let body: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
         for handle in body["handles"].as_array().into_iter().flatten() {
             let handle = handle.as_str().unwrap_or("").to_owned();
@@ -48,7 +48,10 @@
         json_answer(StatusCode::OK, &json!({}))
     }
 
-    pub(super) async fn run_pieces(self: &Arc<Self>, call: &HttpCall) -> Option<HttpResponse> {
+    pub(super) async fn run_pieces(
+        self: &Arc<Self>,
+        call: &BufferedRequest,
+    ) -> Option<HttpResponse> {
         let TargetRole::Stage {
             call: call_span,
             piece: piece_span,
@@ -90,7 +93,7 @@
     }
 
     /// Notes the pieces of a call under which the target crashes.
-    fn note_lost(&self, call: &HttpCall, items: &[Value], number: u64) {
+    fn note_lost(&self, call: &BufferedRequest, items: &[Value], number: u64) {
         for item in items {
             let kind = RunKind::Piece {
                 stage: item["stage"].as_u64().unwrap_or(0),
@@ -114,7 +117,7 @@
         keys.any(|key| key == Some(body.as_str()))
     }
 
-    fn run_piece(&self, call: &HttpCall, item: &Value, number: u64) -> Value {
+    fn run_piece(&self, call: &BufferedRequest, item: &Value, number: u64) -> Value {
         let attempt = item["id"].as_str().unwrap_or("").to_owned();
         let stage = item["stage"].as_u64().unwrap_or(0);
         let piece = item["piece"].as_u64().unwrap_or(0);
--- a/packages/turnford-standin/src/route/site.rs
+++ b/packages/turnford-standin/src/route/site.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use serde_json::Value;
 use turnford_http::HttpClient;
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 use turnford_http::HttpRequest;
 
 use super::meta::MetaStore;
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Returns a fault if the route's path is none.
-    pub fn request(&self, to: SocketAddr, attempt: &str) -> Result<HttpRequest, HttpFault> {
+    pub fn request(&self, to: SocketAddr, attempt: &str) -> Result<HttpRequest, HttpError> {
         let mut request = HttpClient::request(Method::POST, to, &self.path)?;
         request.insert_header("host", self.host.as_str());
         request.insert_header("authorization", format!("Bearer {}", self.key));
--- a/packages/turnford-standin/src/route/target.rs
+++ b/packages/turnford-standin/src/route/target.rs
@@ -18,8 +18,8 @@
 use futures_lite::stream;
 use http::StatusCode;
 use serde_json::json;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpBody;
-use turnford_http::HttpCall;
 use turnford_http::HttpResponse;
 
 use super::door::TargetDoor;
@@ -322,13 +322,13 @@
         self.executor.spawn(crash).detach();
     }
 
-    fn crashes_under(&self, call: &HttpCall) -> bool {
+    fn crashes_under(&self, call: &BufferedRequest) -> bool {
         let body = lock(&self.crash_body);
         body.as_ref()
             .is_some_and(|body| body.as_bytes() == call.body)
     }
 
-    async fn handle(self: &Arc<Self>, call: HttpCall) -> Option<HttpResponse> {
+    async fn handle(self: &Arc<Self>, call: BufferedRequest) -> Option<HttpResponse> {
         if self.is_silent.load(Ordering::SeqCst) {
             Timer::after(SILENCE).await;
             return None;
@@ -350,7 +350,7 @@
         Some(answer)
     }
 
-    async fn answer(self: &Arc<Self>, call: &HttpCall) -> Option<HttpResponse> {
+    async fn answer(self: &Arc<Self>, call: &BufferedRequest) -> Option<HttpResponse> {
         match call.path.as_str() {
             "/health" => Some(self.health()),
             "/v1/report" => {
@@ -378,7 +378,7 @@
         lock(&self.faults).pop_front()
     }
 
-    pub(super) fn run(&self, call: &HttpCall, attempt: String, kind: RunKind) -> RouteRun {
+    pub(super) fn run(&self, call: &BufferedRequest, attempt: String, kind: RunKind) -> RouteRun {
         let deadline = call.header("x-turnford-deadline-ms");
         let inputs = call.header("x-turnford-inputs").unwrap_or("");
         let inputs = inputs.split(',').filter(|input| !input.is_empty());
@@ -395,7 +395,7 @@
         }
     }
 
-    async fn run_request(self: &Arc<Self>, call: &HttpCall) -> Option<HttpResponse> {
+    async fn run_request(self: &Arc<Self>, call: &BufferedRequest) -> Option<HttpResponse> {
         let attempt = call
             .header("x-turnford-attempt-id")
             .unwrap_or("")
@@ -492,7 +492,7 @@
         let mut answer = HttpResponse::new(StatusCode::OK);
         answer.insert_header("content-type", "text/event-stream");
         if is_cut {
-            answer.set_body(HttpBody::cut("id: 1\ndata: token 1\n\nid: 2\nda"));
+            answer.set_body(HttpBody::truncated("id: 1\ndata: token 1\n\nid: 2\nda"));
         } else {
             answer.set_body(HttpBody::stream(events));
         }
@@ -519,7 +519,7 @@
     let mut answer = HttpResponse::new(StatusCode::OK);
     if fault == Some(&TargetFault::Cut) {
         answer.insert_header("content-length", text.len().to_string());
-        answer.set_body(HttpBody::cut(&text.as_bytes()[..text.len() / 2]));
+        answer.set_body(HttpBody::truncated(&text.as_bytes()[..text.len() / 2]));
     } else {
         answer.set_body(text);
     }
--- a/packages/turnford-standin/src/route/word.rs
+++ b/packages/turnford-standin/src/route/word.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 
 use super::target::lock;
@@ -92,7 +92,7 @@
     }
 
     /// Notes a call; returns the time of rest to turn it away with, if the target rests.
-    pub(super) fn note_arrival(&self, call: &HttpCall) -> Option<String> {
+    pub(super) fn note_arrival(&self, call: &BufferedRequest) -> Option<String> {
         let now = Instant::now();
         let mut rest = lock(&self.rest);
         let left = rest.map(|rest| rest.until.saturating_duration_since(now));
--- a/packages/turnford-standin/src/target.rs
+++ b/packages/turnford-standin/src/target.rs
@@ -23,8 +23,8 @@
 use rand::SeedableRng;
 use serde::Deserialize;
 use serde_json::json;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpBody;
-use turnford_http::HttpCall;
 use turnford_http::HttpResponse;
 use turnford_platform::VmEntry;
 
@@ -156,7 +156,7 @@
     }
 
     /// Answers one call.
-    pub(crate) async fn handle(self: Arc<Self>, call: HttpCall) -> Option<HttpResponse> {
+    pub(crate) async fn handle(self: Arc<Self>, call: BufferedRequest) -> Option<HttpResponse> {
         if self.fault(FaultKind::Die).is_some() {
             return None;
         }
@@ -169,7 +169,7 @@
         }
     }
 
-    async fn run(self: Arc<Self>, call: &HttpCall) -> Option<HttpResponse> {
+    async fn run(self: Arc<Self>, call: &BufferedRequest) -> Option<HttpResponse> {
         let Ok(body) = serde_json::from_slice::<RunBody>(&call.body) else {
             return Some(HttpResponse::new(StatusCode::BAD_REQUEST));
         };
@@ -217,7 +217,7 @@
         if self.fault(FaultKind::Truncate).is_some() {
             let text = answer.to_string();
             let half = text.as_bytes()[..text.len() / 2].to_vec();
-            response.set_body(HttpBody::cut(half));
+            response.set_body(HttpBody::truncated(half));
             response.insert_header("content-length", text.len().to_string());
             response.insert_header("connection", "close");
         }
@@ -349,7 +349,7 @@
         json_response(&answer)
     }
 
-    fn order(&self, call: &HttpCall) -> HttpResponse {
+    fn order(&self, call: &BufferedRequest) -> HttpResponse {
         let Ok(order) = serde_json::from_slice::<OrderBody>(&call.body) else {
             return HttpResponse::new(StatusCode::BAD_REQUEST);
         };
--- a/packages/turnford-standin/src/vms.rs
+++ b/packages/turnford-standin/src/vms.rs
@@ -8,7 +8,7 @@
 
 use http::StatusCode;
 use serde::Serialize;
-use turnford_http::HttpCall;
+use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 use turnford_platform::VmEntry;
 use turnford_platform::VmState;
@@ -47,7 +47,7 @@
     }
 
     /// Answers one call.
-    pub(crate) async fn handle(&self, call: HttpCall) -> Option<HttpResponse> {
+    pub(crate) async fn handle(&self, call: BufferedRequest) -> Option<HttpResponse> {
         match (call.method.as_str(), call.path.as_str()) {
             ("GET", "/vms") => Some(json_response(&self.list())),
             ("GET", "/journal") => Some(json_response(&self.journal.entries())),
@@ -87,7 +87,7 @@
         list
     }
 
-    fn add_fault(&self, call: &HttpCall) -> HttpResponse {
+    fn add_fault(&self, call: &BufferedRequest) -> HttpResponse {
         let parsed: Result<FaultSpec, _> = serde_json::from_slice(&call.body);
         match parsed {
             Ok(fault) => {
--- a/packages/turnford-target/src/call.rs
+++ b/packages/turnford-target/src/call.rs
@@ -11,7 +11,7 @@
 use turnford_policy::AttemptId;
 use turnford_policy::ClassRank;
 
-use crate::TargetFault;
+use crate::TargetError;
 
 /// One attempt of one stage.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TargetAnswer {
+pub struct TargetResponse {
     /// Output text.
     pub output: String,
     /// Tokens generated.
@@ -60,7 +60,7 @@
 }
 
 impl TargetCall {
-    pub(crate) fn request(&self, to: SocketAddr, stream: bool) -> Result<HttpRequest, TargetFault> {
+    pub(crate) fn request(&self, to: SocketAddr, stream: bool) -> Result<HttpRequest, TargetError> {
         let body = CallBody {
             attempt: self.attempt.to_string(),
             priority: self.priority,
@@ -70,7 +70,7 @@
             limit_ms: u64::try_from(self.limit.as_millis()).unwrap_or(u64::MAX),
             stream,
         };
-        let bytes = serde_json::to_vec(&body).map_err(|_| TargetFault::NotSent)?;
+        let bytes = serde_json::to_vec(&body).map_err(|_| TargetError::NotSent)?;
         let mut request = HttpClient::request(Method::POST, to, "/run")?;
         request.set_body(bytes);
         Ok(request)
@@ -81,12 +81,12 @@
 ///
 /// Only an explicit refusal counts as "did not start"; any other answer comes from a target that
 /// may have started.
-pub(crate) fn fault_of(status: u16, body: &[u8]) -> TargetFault {
+pub(crate) fn fault_of(status: u16, body: &[u8]) -> TargetError {
     let refusal: Option<RefusalBody> = serde_json::from_slice(body).ok();
     let reason = refusal.and_then(|body| body.refused);
     match (status, reason.as_deref()) {
-        (503, Some("full")) => TargetFault::Full,
-        (503, Some("leaving")) => TargetFault::Leaving,
-        _ => TargetFault::Failed,
+        (503, Some("full")) => TargetError::Full,
+        (503, Some("leaving")) => TargetError::Leaving,
+        _ => TargetError::Failed,
     }
 }
--- a/packages/turnford-target/src/engine.rs
+++ b/packages/turnford-target/src/engine.rs
@@ -6,7 +6,7 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use serde::Deserialize;
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 use turnford_http::HttpStream;
 use turnford_policy::AttemptId;
 use turnford_policy::Clock;
@@ -15,7 +15,7 @@
 use crate::call::fault_of;
 use crate::TargetCall;
 use crate::TargetClient;
-use crate::TargetFault;
+use crate::TargetError;
 
 /// One line of a stream.
 #[derive(Deserialize)]
@@ -65,14 +65,14 @@
         &self,
         to: SocketAddr,
         call: &TargetCall,
-    ) -> Result<EngineStream<'_>, TargetFault> {
+    ) -> Result<EngineStream<'_>, TargetError> {
         let request = call.request(to, true)?;
         let clock = SystemClock::new();
         let mut stream = self.http.open(to, request, call.limit).await?;
         if stream.status != 200 {
             let body = stream.read_body().await?;
             let fault = fault_of(stream.status, &body);
-            stream.keep();
+            stream.recycle();
             return Err(fault);
         }
         Ok(EngineStream {
@@ -90,18 +90,18 @@
     ///
     /// # Errors
     ///
-    /// Returns [`TargetFault::OtherAttempt`] for a line of another attempt,
-    /// [`TargetFault::Unreadable`] for a token out of order, [`TargetFault::Broken`] or
-    /// [`TargetFault::Late`] if the stream stops before its end.
-    pub async fn next(&mut self) -> Result<StreamStep, TargetFault> {
-        let stream = self.stream.as_mut().ok_or(TargetFault::Broken)?;
+    /// Returns [`TargetError::AttemptMismatch`] for a line of another attempt,
+    /// [`TargetError::Malformed`] for a token out of order, [`TargetError::Disconnected`] or
+    /// [`TargetError::Timeout`] if the stream stops before its end.
+    pub async fn next(&mut self) -> Result<StreamStep, TargetError> {
+        let stream = self.stream.as_mut().ok_or(TargetError::Disconnected)?;
         let left = self.limit.saturating_sub(self.clock.now());
         let line = line_within(stream, left).await?;
-        let line = line.ok_or(TargetFault::Broken)?;
+        let line = line.ok_or(TargetError::Disconnected)?;
         let parsed: Result<StreamLine, _> = serde_json::from_str(&line);
-        let line = parsed.map_err(|_| TargetFault::Unreadable)?;
+        let line = parsed.map_err(|_| TargetError::Malformed)?;
         if line.attempt.parse() != Ok(self.attempt) {
-            return Err(TargetFault::OtherAttempt);
+            return Err(TargetError::AttemptMismatch);
         }
         if line.done {
             self.finish().await?;
@@ -111,10 +111,10 @@
             });
         }
         if line.index != self.next_index {
-            return Err(TargetFault::Unreadable);
+            return Err(TargetError::Malformed);
         }
         self.next_index += 1;
-        let token = line.token.ok_or(TargetFault::Unreadable)?;
+        let token = line.token.ok_or(TargetError::Malformed)?;
         Ok(StreamStep::Token(token))
     }
 
@@ -124,14 +124,14 @@
     }
 
     /// Reads the end of the body and keeps the connection.
-    async fn finish(&mut self) -> Result<(), TargetFault> {
+    async fn finish(&mut self) -> Result<(), TargetError> {
         let Some(mut stream) = self.stream.take() else {
             return Ok(());
         };
         if stream.next_line().await?.is_some() {
-            return Err(TargetFault::Unreadable);
+            return Err(TargetError::Malformed);
         }
-        stream.keep();
+        stream.recycle();
         Ok(())
     }
 }
@@ -139,10 +139,10 @@
 async fn line_within(
     stream: &mut HttpStream<'_>,
     limit: Duration,
-) -> Result<Option<String>, HttpFault> {
+) -> Result<Option<String>, HttpError> {
     let timer = async {
         Timer::after(limit).await;
-        Err(HttpFault::LateAfterSend)
+        Err(HttpError::TimeoutAfterSend)
     };
     stream.next_line().or(timer).await
 }
--- a/packages/turnford-target/src/fault.rs
+++ b/packages/turnford-target/src/fault.rs
@@ -2,12 +2,12 @@
 
 use std::fmt;
 
-use turnford_http::HttpFault;
+use turnford_http::HttpError;
 use turnford_policy::AttemptEvidence;
 
 /// A failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetFault {
+pub enum TargetError {
     /// No byte was handed over.
     NotSent,
     /// The target refused before it started, because it is full.
@@ -17,55 +17,55 @@
     /// The target started and failed.
     Failed,
     /// The call was handed over and no whole answer came.
-    Broken,
+    Disconnected,
     /// The time ran out after the call was handed over.
-    Late,
+    Timeout,
     /// The answer belongs to another attempt.
-    OtherAttempt,
+    AttemptMismatch,
     /// The answer could not be read.
-    Unreadable,
+    Malformed,
 }
 
-impl TargetFault {
+impl TargetError {
     /// Returns what the fault says about the attempt.
     pub fn evidence(self) -> AttemptEvidence {
         match self {
-            TargetFault::NotSent => AttemptEvidence::NotSent,
-            TargetFault::Full | TargetFault::Leaving => AttemptEvidence::RefusedBeforeStart,
-            TargetFault::Failed => AttemptEvidence::Ran,
-            TargetFault::Broken
-            | TargetFault::Late
-            | TargetFault::OtherAttempt
-            | TargetFault::Unreadable => AttemptEvidence::Unknown,
+            TargetError::NotSent => AttemptEvidence::NotSent,
+            TargetError::Full | TargetError::Leaving => AttemptEvidence::RefusedBeforeStart,
+            TargetError::Failed => AttemptEvidence::Ran,
+            TargetError::Disconnected
+            | TargetError::Timeout
+            | TargetError::AttemptMismatch
+            | TargetError::Malformed => AttemptEvidence::Unknown,
         }
     }
 }
 
-impl From<HttpFault> for TargetFault {
-    fn from(fault: HttpFault) -> Self {
+impl From<HttpError> for TargetError {
+    fn from(fault: HttpError) -> Self {
         match fault {
-            HttpFault::NotConnected | HttpFault::LateBeforeSend => TargetFault::NotSent,
-            HttpFault::LateAfterSend => TargetFault::Late,
-            HttpFault::Broken | HttpFault::Truncated => TargetFault::Broken,
-            HttpFault::TooLarge => TargetFault::Unreadable,
+            HttpError::NotConnected | HttpError::TimeoutBeforeSend => TargetError::NotSent,
+            HttpError::TimeoutAfterSend => TargetError::Timeout,
+            HttpError::Disconnected | HttpError::Truncated => TargetError::Disconnected,
+            HttpError::TooLarge => TargetError::Malformed,
         }
     }
 }
 
-impl fmt::Display for TargetFault {
+impl fmt::Display for TargetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            TargetFault::NotSent => "the call was not sent",
-            TargetFault::Full => "the target is full",
-            TargetFault::Leaving => "the target is leaving",
-            TargetFault::Failed => "the target failed",
-            TargetFault::Broken => "the connection broke",
-            TargetFault::Late => "no answer in time",
-            TargetFault::OtherAttempt => "the answer belongs to another attempt",
-            TargetFault::Unreadable => "the answer can't be read",
+            TargetError::NotSent => "the call was not sent",
+            TargetError::Full => "the target is full",
+            TargetError::Leaving => "the target is leaving",
+            TargetError::Failed => "the target failed",
+            TargetError::Disconnected => "the connection broke",
+            TargetError::Timeout => "no answer in time",
+            TargetError::AttemptMismatch => "the answer belongs to another attempt",
+            TargetError::Malformed => "the answer can't be read",
         };
         f.write_str(text)
     }
 }
 
-impl std::error::Error for TargetFault {}
+impl std::error::Error for TargetError {}
--- a/packages/turnford-target/src/lib.rs
+++ b/packages/turnford-target/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One call is one attempt. Its id goes out with the call and must come back with every part of
 //! the answer; an answer that carries another id is dropped and reported as
-//! [`TargetFault::OtherAttempt`].
+//! [`TargetError::AttemptMismatch`].
 
 mod call;
 mod engine;
@@ -11,11 +11,11 @@
 mod report;
 mod unary;
 
-pub use call::TargetAnswer;
 pub use call::TargetCall;
+pub use call::TargetResponse;
 pub use engine::EngineStream;
 pub use engine::StreamStep;
-pub use fault::TargetFault;
+pub use fault::TargetError;
 pub use report::CacheEvent;
 pub use report::CacheEvents;
 pub use report::TargetReport;
--- a/packages/turnford-target/src/order.rs
+++ b/packages/turnford-target/src/order.rs
@@ -8,7 +8,7 @@
 use turnford_http::HttpClient;
 
 use crate::TargetClient;
-use crate::TargetFault;
+use crate::TargetError;
 
 /// Body of an order.
 #[derive(Serialize)]
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`TargetFault::Full`] if the target refused it, for its token or for want of room,
+    /// Returns [`TargetError::Full`] if the target refused it, for its token or for want of room,
     /// or the fault of the call.
     pub async fn order(
         &self,
@@ -32,16 +32,16 @@
         kind: &str,
         model: &str,
         limit: Duration,
-    ) -> Result<(), TargetFault> {
+    ) -> Result<(), TargetError> {
         let body = OrderBody { token, kind, model };
-        let bytes = serde_json::to_vec(&body).map_err(|_| TargetFault::NotSent)?;
+        let bytes = serde_json::to_vec(&body).map_err(|_| TargetError::NotSent)?;
         let mut request = HttpClient::request(Method::POST, to, "/order")?;
         request.set_body(bytes);
         let answer = self.http.send(to, request, limit).await?;
         match answer.status {
             202 => Ok(()),
-            409 | 422 => Err(TargetFault::Full),
-            _ => Err(TargetFault::Failed),
+            409 | 422 => Err(TargetError::Full),
+            _ => Err(TargetError::Failed),
         }
     }
 }
--- a/packages/turnford-target/src/report.rs
+++ b/packages/turnford-target/src/report.rs
@@ -9,7 +9,7 @@
 use turnford_http::HttpClient;
 
 use crate::TargetClient;
-use crate::TargetFault;
+use crate::TargetError;
 
 /// Longest wait for a report.
 const REPORT_LIMIT: Duration = Duration::from_secs(1);
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// Returns the fault of the call.
-    pub async fn report(&self, to: SocketAddr) -> Result<TargetReport, TargetFault> {
+    pub async fn report(&self, to: SocketAddr) -> Result<TargetReport, TargetError> {
         self.read_json(to, "/report").await
     }
 
@@ -67,7 +67,7 @@
         &self,
         to: SocketAddr,
         after: u64,
-    ) -> Result<CacheEvents, TargetFault> {
+    ) -> Result<CacheEvents, TargetError> {
         self.read_json(to, &format!("/events?after={after}")).await
     }
 
@@ -75,12 +75,12 @@
         &self,
         to: SocketAddr,
         path: &str,
-    ) -> Result<T, TargetFault> {
+    ) -> Result<T, TargetError> {
         let request = HttpClient::request(Method::GET, to, path)?;
         let answer = self.http.send(to, request, REPORT_LIMIT).await?;
         if answer.status != 200 {
-            return Err(TargetFault::Failed);
+            return Err(TargetError::Failed);
         }
-        serde_json::from_slice(&answer.body).map_err(|_| TargetFault::Unreadable)
+        serde_json::from_slice(&answer.body).map_err(|_| TargetError::Malformed)
     }
 }
--- a/packages/turnford-target/src/unary.rs
+++ b/packages/turnford-target/src/unary.rs
@@ -5,10 +5,10 @@
 use serde::Deserialize;
 
 use crate::call::fault_of;
-use crate::TargetAnswer;
 use crate::TargetCall;
 use crate::TargetClient;
-use crate::TargetFault;
+use crate::TargetError;
+use crate::TargetResponse;
 
 /// Body of a whole answer.
 #[derive(Deserialize)]
@@ -31,18 +31,18 @@
         &self,
         to: SocketAddr,
         call: &TargetCall,
-    ) -> Result<TargetAnswer, TargetFault> {
+    ) -> Result<TargetResponse, TargetError> {
         let request = call.request(to, false)?;
         let answer = self.http.send(to, request, call.limit).await?;
         if answer.status != 200 {
             return Err(fault_of(answer.status, &answer.body));
         }
         let parsed: Result<AnswerBody, _> = serde_json::from_slice(&answer.body);
-        let body = parsed.map_err(|_| TargetFault::Unreadable)?;
+        let body = parsed.map_err(|_| TargetError::Malformed)?;
         if body.attempt.parse() != Ok(call.attempt) {
-            return Err(TargetFault::OtherAttempt);
+            return Err(TargetError::AttemptMismatch);
         }
-        Ok(TargetAnswer {
+        Ok(TargetResponse {
             output: body.output,
             tokens: body.tokens,
             cached: body.cached,
--- a/packages/turnford-wire/examples/limit_cost.rs
+++ b/packages/turnford-wire/examples/limit_cost.rs
@@ -12,9 +12,9 @@
 use turnford_policy::LimitState;
 use turnford_policy::TargetId;
 use turnford_wire::encode_frame;
-use turnford_wire::LimitMark;
-use turnford_wire::LimitNews;
-use turnford_wire::PermitAsk;
+use turnford_wire::LimitDigest;
+use turnford_wire::LimitUpdate;
+use turnford_wire::PermitAcquire;
 use turnford_wire::PermitReply;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
@@ -73,16 +73,16 @@
             work: "10.3.0.12:7742".parse().expect("an address"),
         },
     };
-    let ask = WorkRequest::Permit(PermitAsk {
+    let ask = WorkRequest::Permit(PermitAcquire {
         service: service.clone(),
         term: Some(term.clone()),
         target: "i-91b9f41feb".to_owned(),
-        born: 1_796_279_614_729,
+        process_start: 1_796_279_614_729,
         state: LimitState::Limited(1.0),
         purpose: PermitUse::Work,
     });
     let reply = WorkReply::Permit(PermitReply::Wait { wait_ms: 400 });
-    let mark = LimitMark {
+    let mark = LimitDigest {
         service: service.clone(),
         term: Some(term.clone()),
         sum: u64::MAX,
@@ -94,7 +94,7 @@
             sequence: 7,
             state: LimitState::Limited(1.0),
         };
-        WorkRequest::Limits(vec![LimitNews {
+        WorkRequest::Limits(vec![LimitUpdate {
             service: service.clone(),
             term: term.clone(),
             entries: vec![entry; count],
--- a/packages/turnford-wire/src/body.rs
+++ b/packages/turnford-wire/src/body.rs
@@ -1,19 +1,19 @@
 //! Bodies of calls and answers.
 
 use h2::RecvStream;
-use turnford_http::read_parts;
-use turnford_http::AnswerLimit;
-use turnford_http::ArrivalFault;
+use turnford_http::read_chunks;
+use turnford_http::ReceiveError;
+use turnford_http::ResponseTimeouts;
 
-use crate::FrameFault;
-use crate::PeerFault;
+use crate::FrameError;
+use crate::PeerError;
 use crate::FRAME_LIMIT;
 
 /// Reads a body of bounded size for as long as it keeps coming.
 pub(crate) async fn read_body(
     mut body: RecvStream,
-    limit: &AnswerLimit,
-) -> Result<Vec<u8>, PeerFault> {
+    limit: &ResponseTimeouts,
+) -> Result<Vec<u8>, PeerError> {
     let next = async || {
         let chunk = body.data().await?;
         let taken = chunk.and_then(|chunk| {
@@ -22,10 +22,10 @@
         });
         Some(taken)
     };
-    let read = read_parts(limit, FRAME_LIMIT, next).await;
+    let read = read_chunks(limit, FRAME_LIMIT, next).await;
     read.map_err(|fault| match fault {
-        ArrivalFault::Stalled(received) => PeerFault::Stalled(received),
-        ArrivalFault::TooLarge => PeerFault::Frame(FrameFault::TooLarge),
-        ArrivalFault::Broken(_) => PeerFault::Broken,
+        ReceiveError::Stalled(received) => PeerError::Stalled(received),
+        ReceiveError::TooLarge => PeerError::Frame(FrameError::TooLarge),
+        ReceiveError::Transport(_) => PeerError::Disconnected,
     })
 }
--- a/packages/turnford-wire/src/client.rs
+++ b/packages/turnford-wire/src/client.rs
@@ -20,48 +20,48 @@
 use http::Response;
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 use turnford_http::open_stream;
-use turnford_http::AnswerLimit;
-use turnford_http::ArrivalCount;
+use turnford_http::ReceiveCounter;
+use turnford_http::ResponseTimeouts;
 
 use crate::body::read_body;
 use crate::decode_frame;
 use crate::encode_frame;
-use crate::FrameFault;
+use crate::FrameError;
 
 /// Why a call to a peer failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerFault {
+pub enum PeerError {
     /// No connection, or it broke.
-    Broken,
+    Disconnected,
     /// No answer in time.
-    Late,
+    Timeout,
     /// The answer stopped coming after so many bytes.
     Stalled(usize),
     /// The message or its answer was not understood.
-    Frame(FrameFault),
+    Frame(FrameError),
 }
 
-impl fmt::Display for PeerFault {
+impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PeerFault::Broken => f.write_str("connection broken"),
-            PeerFault::Late => f.write_str("no answer in time"),
-            PeerFault::Stalled(received) => {
+            PeerError::Disconnected => f.write_str("connection broken"),
+            PeerError::Timeout => f.write_str("no answer in time"),
+            PeerError::Stalled(received) => {
                 write!(f, "the answer stopped coming, received={received}")
             }
-            PeerFault::Frame(fault) => write!(f, "{fault}"),
+            PeerError::Frame(fault) => write!(f, "{fault}"),
         }
     }
 }
 
-impl std::error::Error for PeerFault {}
+impl std::error::Error for PeerError {}
 
 /// Client of all peers, for one thread.
 pub struct PeerClient {
     executor: Rc<LocalExecutor<'static>>,
     connections: RefCell<HashMap<SocketAddr, SendRequest<Bytes>>>,
     sent_bytes: RefCell<u64>,
-    arrivals: ArrivalCount,
+    arrivals: ReceiveCounter,
 }
 
 impl PeerClient {
@@ -71,7 +71,7 @@
             executor,
             connections: RefCell::new(HashMap::new()),
             sent_bytes: RefCell::new(0),
-            arrivals: ArrivalCount::default(),
+            arrivals: ReceiveCounter::default(),
         }
     }
 
@@ -82,7 +82,7 @@
 
     /// Tells whether an answer is arriving.
     pub fn is_receiving(&self) -> bool {
-        self.arrivals.is_any()
+        self.arrivals.is_active()
     }
 
     /// Makes a call whose answer has to begin within `limit`; then it is read for as long as it
@@ -96,31 +96,33 @@
         to: SocketAddr,
         request: &Q,
         limit: Duration,
-    ) -> Result<R, PeerFault> {
-        let frame = encode_frame(request).map_err(PeerFault::Frame)?;
+    ) -> Result<R, PeerError> {
+        let frame = encode_frame(request).map_err(PeerError::Frame)?;
         *self.sent_bytes.borrow_mut() += frame.len() as u64;
-        let answer = self.exchange(to, frame, &AnswerLimit::new(limit)).await;
+        let answer = self
+            .exchange(to, frame, &ResponseTimeouts::new(limit))
+            .await;
         if answer.is_err() {
             // A connection that failed once is made anew for the next call.
             self.connections.borrow_mut().remove(&to);
         }
         let answer = answer?;
         *self.sent_bytes.borrow_mut() += answer.len() as u64;
-        decode_frame(&answer).map_err(PeerFault::Frame)
+        decode_frame(&answer).map_err(PeerError::Frame)
     }
 
     async fn exchange(
         &self,
         to: SocketAddr,
         frame: Vec<u8>,
-        limit: &AnswerLimit,
-    ) -> Result<Vec<u8>, PeerFault> {
+        limit: &ResponseTimeouts,
+    ) -> Result<Vec<u8>, PeerError> {
         let late = async {
-            Timer::after(limit.begin).await;
-            Err(PeerFault::Late)
+            Timer::after(limit.first_byte).await;
+            Err(PeerError::Timeout)
         };
         let response = self.begin_exchange(to, frame).or(late).await?;
-        let _arrival = self.arrivals.enter();
+        let _arrival = self.arrivals.begin();
         read_body(response.into_body(), limit).await
     }
 
@@ -129,22 +131,22 @@
         &self,
         to: SocketAddr,
         frame: Vec<u8>,
-    ) -> Result<Response<RecvStream>, PeerFault> {
+    ) -> Result<Response<RecvStream>, PeerError> {
         let mut sender = self.ready_connection(to).await?;
         let request = Request::builder().method(Method::POST).uri("http://peer/");
-        let request = request.body(()).map_err(|_| PeerFault::Broken)?;
+        let request = request.body(()).map_err(|_| PeerError::Disconnected)?;
         let sent = sender
             .send_request(request, false)
-            .map_err(|_| PeerFault::Broken)?;
+            .map_err(|_| PeerError::Disconnected)?;
         let (response, mut body) = sent;
         body.send_data(Bytes::from(frame), true)
-            .map_err(|_| PeerFault::Broken)?;
-        response.await.map_err(|_| PeerFault::Broken)
+            .map_err(|_| PeerError::Disconnected)?;
+        response.await.map_err(|_| PeerError::Disconnected)
     }
 
     /// Returns a connection that takes a call now. A kept one that has ended meanwhile, as with a
     /// peer that was restarted, is made anew: nothing was sent on it.
-    async fn ready_connection(&self, to: SocketAddr) -> Result<SendRequest<Bytes>, PeerFault> {
+    async fn ready_connection(&self, to: SocketAddr) -> Result<SendRequest<Bytes>, PeerError> {
         let kept = self.connections.borrow().get(&to).cloned();
         if let Some(sender) = kept {
             if let Ok(sender) = sender.ready().await {
@@ -153,13 +155,13 @@
             self.connections.borrow_mut().remove(&to);
         }
         let sender = self.connect(to).await?;
-        sender.ready().await.map_err(|_| PeerFault::Broken)
+        sender.ready().await.map_err(|_| PeerError::Disconnected)
     }
 
-    async fn connect(&self, to: SocketAddr) -> Result<SendRequest<Bytes>, PeerFault> {
-        let stream = open_stream(to).await.map_err(|_| PeerFault::Broken)?;
+    async fn connect(&self, to: SocketAddr) -> Result<SendRequest<Bytes>, PeerError> {
+        let stream = open_stream(to).await.map_err(|_| PeerError::Disconnected)?;
         let shaken = h2::client::handshake(stream.compat()).await;
-        let (sender, connection) = shaken.map_err(|_| PeerFault::Broken)?;
+        let (sender, connection) = shaken.map_err(|_| PeerError::Disconnected)?;
         let drive = async move {
             // Its end shows in the calls that use it.
             let _ = connection.await;
