--- a/packages/turnford-fleet/examples/crash_cost.rs
+++ b/packages/turnford-fleet/examples/crash_cost.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use turnford_fleet::CrashEvent;
-use turnford_fleet::CrashNews;
 use turnford_fleet::CrashPart;
 use turnford_fleet::CrashTable;
+use turnford_fleet::CrashUpdate;
 use turnford_policy::RequestDigest;
 
 /// Requests in a full table.
@@ -43,7 +43,7 @@
     let mut table = CrashTable::default();
     for crash in 0..CRASHES {
         for request in 0..REQUESTS {
-            let news = CrashNews {
+            let news = CrashUpdate {
                 digest: digest(request).0,
                 event: CrashEvent::Crashed {
                     target: format!("i-{request:08x}"),
--- a/packages/turnford-fleet/src/claim.rs
+++ b/packages/turnford-fleet/src/claim.rs
@@ -1,6 +1,6 @@
 //! Claims of one range, committed in groups by conditional update.
 //!
-//! Any node may run a [`ClaimRange`] for any range; the platform's versions keep two of them from
+//! Any node may run a [`ClaimCommitter`] for any range; the platform's versions keep two of them from
 //! granting the same id twice. What a lost answer leaves open is settled by reading the range again
 //! and computing the whole group anew: a claim that is there with the same owner was granted.
 //!
@@ -41,25 +41,27 @@
 /// Most asks that wait.
 const QUEUE_LIMIT: usize = 10_000;
 
-/// Number of an ask inside one [`ClaimRange`].
+/// Number of an ask inside one [`ClaimCommitter`].
 pub type ClaimTicket = u64;
 
 /// What is asked of a range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
-pub enum ClaimAsk {
+pub enum ClaimRequest {
     /// Claims an id.
-    Take(ClaimKey, ClaimOwner),
+    Acquire(ClaimKey, ClaimOwner),
     /// Notes how the owner's request ended after the call was sent.
     Finish(ClaimKey, ClaimOwner, u16),
     /// Gives an id back whose call was never sent and never will be.
     Release(ClaimKey, ClaimOwner),
 }
 
-impl ClaimAsk {
+impl ClaimRequest {
     /// Returns the id asked about.
     pub fn key(&self) -> &ClaimKey {
         match self {
-            ClaimAsk::Take(key, _) | ClaimAsk::Finish(key, _, _) | ClaimAsk::Release(key, _) => key,
+            ClaimRequest::Acquire(key, _)
+            | ClaimRequest::Finish(key, _, _)
+            | ClaimRequest::Release(key, _) => key,
         }
     }
 }
@@ -114,7 +116,7 @@
     Lost,
 }
 
-/// What [`ClaimRange::step`] returns.
+/// What [`ClaimCommitter::step`] returns.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClaimStep {
     /// Call to make now, its end to be given back.
@@ -127,7 +129,7 @@
 #[derive(Clone, Copy, Debug)]
 struct QueuedAsk {
     ticket: ClaimTicket,
-    ask: ClaimAsk,
+    ask: ClaimRequest,
     expires: Moment,
 }
 
@@ -144,7 +146,7 @@
 
 /// The committer of one range on one node.
 #[derive(Debug, Default)]
-pub struct ClaimRange {
+pub struct ClaimCommitter {
     known: Option<VersionedBlock>,
     /// The range as last seen, while it has to be read again.
     remembered: VersionedBlock,
@@ -159,14 +161,14 @@
     watched: Option<(u64, Moment)>,
 }
 
-impl ClaimRange {
+impl ClaimCommitter {
     /// Makes a committer that knows nothing yet.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Queues an ask that is answered before `expires`; `None` if too many wait.
-    pub fn ask(&mut self, ask: ClaimAsk, expires: Moment) -> Option<ClaimTicket> {
+    pub fn submit(&mut self, ask: ClaimRequest, expires: Moment) -> Option<ClaimTicket> {
         if self.queue.len() >= QUEUE_LIMIT {
             return None;
         }
@@ -217,7 +219,7 @@
     }
 
     /// Takes the end of a read.
-    pub fn note_read(&mut self, now: Moment, read: RangeRead) {
+    pub fn handle_read(&mut self, now: Moment, read: RangeRead) {
         debug_assert!(
             matches!(self.call, Some(RangeCall::Read)),
             "no read is under way"
@@ -251,7 +253,7 @@
     }
 
     /// Takes the end of a write, and returns the answers that are clear by it.
-    pub fn note_write(
+    pub fn handle_write(
         &mut self,
         now: Moment,
         write: RangeWrite,
@@ -362,32 +364,35 @@
 }
 
 /// Applies one ask to a block; the flag tells whether the block changed.
-fn apply_ask(block: &mut ClaimBlock, ask: &ClaimAsk) -> (ClaimVerdict, bool) {
+fn apply_ask(block: &mut ClaimBlock, ask: &ClaimRequest) -> (ClaimVerdict, bool) {
     let known = block.get(ask.key()).copied();
     match (*ask, known) {
-        (ClaimAsk::Take(_, owner), Some(entry)) if entry.owner == owner => match entry.state {
+        (ClaimRequest::Acquire(_, owner), Some(entry)) if entry.owner == owner => match entry.state
+        {
             ClaimState::Held => (ClaimVerdict::Granted, false),
             // The owner gave up before; it must not send now.
             _ => (ClaimVerdict::Taken(entry), false),
         },
-        (ClaimAsk::Take(key, owner), Some(entry)) if entry.state == ClaimState::Released => {
+        (ClaimRequest::Acquire(key, owner), Some(entry)) if entry.state == ClaimState::Released => {
             let state = ClaimState::Held;
             block.set(key, ClaimEntry { owner, state });
             (ClaimVerdict::Granted, true)
         }
-        (ClaimAsk::Take(..), Some(entry)) => (ClaimVerdict::Taken(entry), false),
-        (ClaimAsk::Take(..), None) if block.len() >= CLAIM_LIMIT => (ClaimVerdict::Full, false),
-        (ClaimAsk::Take(key, owner), None) => {
+        (ClaimRequest::Acquire(..), Some(entry)) => (ClaimVerdict::Taken(entry), false),
+        (ClaimRequest::Acquire(..), None) if block.len() >= CLAIM_LIMIT => {
+            (ClaimVerdict::Full, false)
+        }
+        (ClaimRequest::Acquire(key, owner), None) => {
             let state = ClaimState::Held;
             block.set(key, ClaimEntry { owner, state });
             (ClaimVerdict::Granted, true)
         }
-        (ClaimAsk::Finish(key, owner, code), Some(entry)) if entry.owner == owner => {
+        (ClaimRequest::Finish(key, owner, code), Some(entry)) if entry.owner == owner => {
             let state = ClaimState::Finished(code);
             block.set(key, ClaimEntry { owner, state });
             (ClaimVerdict::Granted, entry.state != state)
         }
-        (ClaimAsk::Release(key, owner), Some(entry))
+        (ClaimRequest::Release(key, owner), Some(entry))
             if entry.owner == owner && entry.state == ClaimState::Held =>
         {
             let state = ClaimState::Released;
@@ -396,14 +401,14 @@
         }
         // A release of a claim that was never written must keep a write that is still on its way
         // from making it: the tombstone makes that write's condition fail.
-        (ClaimAsk::Release(key, owner), None) => {
+        (ClaimRequest::Release(key, owner), None) => {
             let state = ClaimState::Released;
             block.set(key, ClaimEntry { owner, state });
             (ClaimVerdict::Granted, true)
         }
         (_, Some(entry)) => (ClaimVerdict::Taken(entry), false),
         // The platform lost the claim; that its owner sent the call stays true.
-        (ClaimAsk::Finish(key, owner, code), None) => {
+        (ClaimRequest::Finish(key, owner, code), None) => {
             let state = ClaimState::Finished(code);
             block.set(key, ClaimEntry { owner, state });
             (ClaimVerdict::Granted, true)
--- a/packages/turnford-fleet/src/config.rs
+++ b/packages/turnford-fleet/src/config.rs
@@ -20,7 +20,7 @@
 
 /// By what two nodes see whether they have the same configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bincode::Encode, bincode::Decode)]
-pub struct ConfigMark {
+pub struct ConfigDigest {
     /// Revision up to which nothing is missing.
     pub complete_to: Version,
     /// Highest version of any object.
@@ -56,7 +56,7 @@
     }
 
     /// Notes that everything up to a revision was seen, from a list or an unbroken watch.
-    pub fn note_complete(&mut self, revision: Version) {
+    pub fn advance_complete_to(&mut self, revision: Version) {
         self.complete_to = self.complete_to.max(revision);
     }
 
@@ -109,8 +109,8 @@
     }
 
     /// Returns the mark that probes carry.
-    pub fn mark(&self) -> ConfigMark {
-        ConfigMark {
+    pub fn digest(&self) -> ConfigDigest {
+        ConfigDigest {
             complete_to: self.complete_to,
             newest: self.newest(),
             checksum: self.checksum(),
--- a/packages/turnford-fleet/src/crash.rs
+++ b/packages/turnford-fleet/src/crash.rs
@@ -3,7 +3,7 @@
 //! A request that crashes the targets which run it comes again at any node, under another id. Each
 //! crash is therefore told to all nodes, by the digest of what the request asks for. A request that ran
 //! at a target when it crashed is a suspect, as are its neighbours there, and suspects run one at a
-//! time ([`TrialLedger`](crate::TrialLedger)): only so does a crash tell which of them it was. One
+//! time ([`TrialTable`](crate::TrialTable)): only so does a crash tell which of them it was. One
 //! that ends well is cleared; one whose targets crash while it is on trial is refused.
 
 use std::collections::BTreeMap;
@@ -19,9 +19,9 @@
 use crate::crash_entry::CrashEntry;
 use crate::crash_entry::CrashRecord;
 use crate::crash_news::CrashEvent;
-use crate::crash_news::CrashNews;
 use crate::crash_news::CrashPart;
-use crate::crash_news::TargetStart;
+use crate::crash_news::CrashUpdate;
+use crate::crash_news::TargetProcess;
 use crate::crash_news::BEGUN_POINTS;
 use crate::Moment;
 
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashVerdict {
     /// Nothing speaks against it.
-    Sound,
+    Clear,
     /// Targets crashed while they ran it, or it and others.
     Suspect {
         /// Whether it must not share a target with another suspect.
@@ -81,7 +81,7 @@
 pub struct CrashTable {
     entries: BTreeMap<RequestDigest, CrashEntry>,
     /// Starts of targets that crashed under a request on trial.
-    tried: HashMap<TargetStart, RequestDigest>,
+    tried: HashMap<TargetProcess, RequestDigest>,
 }
 
 impl CrashTable {
@@ -96,7 +96,7 @@
     }
 
     /// Takes what happened to a request; false if it was known or no longer matters.
-    pub fn apply(&mut self, now: Moment, news: &CrashNews) -> bool {
+    pub fn apply(&mut self, now: Moment, news: &CrashUpdate) -> bool {
         let digest = RequestDigest(news.digest);
         let at = now.saturating_sub(Duration::from_millis(u64::from(news.age_ms)));
         match &news.event {
@@ -160,7 +160,7 @@
     /// Returns what is known of a request.
     pub fn verdict(&self, now: Moment, digest: &RequestDigest) -> CrashVerdict {
         let Some(entry) = self.entries.get(digest) else {
-            return CrashVerdict::Sound;
+            return CrashVerdict::Clear;
         };
         let crashes = entry.open_crashes();
         let own = crashes.filter(|crash| self.counts(now, digest, entry, crash));
@@ -177,7 +177,7 @@
             last = last.max(crash.at);
         }
         if count == 0 {
-            return CrashVerdict::Sound;
+            return CrashVerdict::Clear;
         }
         if points >= POINT_LIMIT {
             let doublings = (points - POINT_LIMIT) / BEGUN_POINTS;
@@ -237,7 +237,7 @@
             near.filter(move |near| other != digest || !near.part.is_trial())
         });
         let starts = near.map(|near| &near.start);
-        let others: BTreeSet<&TargetStart> =
+        let others: BTreeSet<&TargetProcess> =
             starts.filter(|start| **start != crash.start).collect();
         others.len() >= WIDE_COUNT
     }
@@ -247,7 +247,7 @@
         &self,
         now: Moment,
         digest: &RequestDigest,
-    ) -> impl Iterator<Item = (&TargetStart, Duration)> {
+    ) -> impl Iterator<Item = (&TargetProcess, Duration)> {
         let entry = self.entries.get(digest);
         let crashes = entry.into_iter().flat_map(CrashEntry::open_crashes);
         crashes.map(move |crash| (&crash.start, now.saturating_sub(crash.at)))
@@ -255,7 +255,7 @@
 
     /// Returns what is to be known of a request by nodes that know of no other: a crash on trial that others
     /// may have caused tells no more than any crash.
-    pub fn news_of(&self, now: Moment, digest: &RequestDigest) -> Vec<CrashNews> {
+    pub fn updates_for(&self, now: Moment, digest: &RequestDigest) -> Vec<CrashUpdate> {
         let entry = self.entries.get(digest);
         let crashes = entry.into_iter().flat_map(CrashEntry::open_crashes);
         let news = crashes.map(|crash| {
@@ -275,7 +275,7 @@
     }
 
     /// Returns the number of requests with as many crashes on trial as have one refused.
-    pub fn refused(&self) -> usize {
+    pub fn refused_count(&self) -> usize {
         let entries = self.entries.values();
         entries
             .filter(|entry| entry.points() >= POINT_LIMIT)
@@ -300,7 +300,7 @@
     }
 
     /// Returns all crashes, as another node may be told, those that matter most first.
-    pub fn snapshot(&self, now: Moment) -> Vec<CrashNews> {
+    pub fn snapshot(&self, now: Moment) -> Vec<CrashUpdate> {
         let mut entries: Vec<(&RequestDigest, &CrashEntry)> = self.entries.iter().collect();
         entries.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.weight()));
         let crashes = entries.into_iter().flat_map(|(digest, entry)| {
--- a/packages/turnford-fleet/src/crash_entry.rs
+++ b/packages/turnford-fleet/src/crash_entry.rs
@@ -5,15 +5,15 @@
 use turnford_policy::RequestDigest;
 
 use crate::crash_news::CrashEvent;
-use crate::crash_news::CrashNews;
 use crate::crash_news::CrashPart;
-use crate::crash_news::TargetStart;
+use crate::crash_news::CrashUpdate;
+use crate::crash_news::TargetProcess;
 use crate::Moment;
 
 /// A crash of a target while it ran a request.
 #[derive(Clone, Debug)]
 pub(crate) struct CrashRecord {
-    pub(crate) start: TargetStart,
+    pub(crate) start: TargetProcess,
     pub(crate) at: Moment,
     pub(crate) part: CrashPart,
     /// Whether the request ended well after that. It is kept so that a node which missed that does not
@@ -23,8 +23,8 @@
 
 impl CrashRecord {
     /// Returns the crash as another node may be told of it.
-    pub(crate) fn news(&self, now: Moment, digest: &RequestDigest) -> CrashNews {
-        CrashNews {
+    pub(crate) fn news(&self, now: Moment, digest: &RequestDigest) -> CrashUpdate {
+        CrashUpdate {
             digest: digest.0,
             event: CrashEvent::Crashed {
                 target: self.start.0.clone(),
--- a/packages/turnford-fleet/src/crash_news.rs
+++ b/packages/turnford-fleet/src/crash_news.rs
@@ -11,7 +11,7 @@
 const QUEUED_POINTS: u32 = 1;
 
 /// Start of a target, which is what crashes.
-pub type TargetStart = (String, ProcessStart);
+pub type TargetProcess = (String, ProcessStart);
 
 /// What one node tells another about a request.
 #[derive(
@@ -24,7 +24,7 @@
     serde::Serialize,
     serde::Deserialize,
 )]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// Digest of what the request asks for.
     pub digest: [u8; DIGEST_BYTES],
     /// What happened.
--- a/packages/turnford-fleet/src/digest.rs
+++ b/packages/turnford-fleet/src/digest.rs
@@ -14,13 +14,13 @@
 
 /// Short stand-in for a target's name. Two targets of one service that share a mark are each taken
 /// to have the work of both, which can cost a little time and nothing else.
-pub type TargetMark = u16;
+pub type TargetHash = u16;
 
 /// Returns the mark of a target's name.
-pub fn mark_target(name: &str) -> TargetMark {
+pub fn hash_target(name: &str) -> TargetHash {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
-    hasher.finish() as TargetMark
+    hasher.finish() as TargetHash
 }
 
 /// Work of one node at one service.
@@ -33,14 +33,14 @@
     /// Mean milliseconds of a call as the sender measured it; 0 before it has.
     pub mean_ms: u32,
     /// Calls in flight by target; targets without any are left out.
-    pub inflight: Vec<(TargetMark, u16)>,
+    pub inflight: Vec<(TargetHash, u16)>,
 }
 
 /// Work of one node.
 #[derive(Clone, Debug, Default, PartialEq, bincode::Encode, bincode::Decode)]
 pub struct LoadDigest {
     /// Number of the digest; older ones that come late are dropped.
-    pub number: u64,
+    pub sequence: u64,
     /// Incarnation of the sender's process, so that a restart does not look late.
     pub incarnation: u64,
     /// Services with work.
@@ -57,7 +57,7 @@
     /// Takes a peer's digest, unless a newer one is known.
     pub fn apply(&mut self, now: Moment, peer: &str, digest: LoadDigest) {
         if let Some((_, known)) = self.peers.get(peer) {
-            if known.incarnation == digest.incarnation && known.number >= digest.number {
+            if known.incarnation == digest.incarnation && known.sequence >= digest.sequence {
                 return;
             }
         }
@@ -70,7 +70,7 @@
             .retain(|_, (at, _)| now.saturating_sub(*at) <= DIGEST_LIFE);
     }
 
-    /// Returns the number of peers heard of lately.
+    /// Returns the sequence of peers heard of lately.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
@@ -91,7 +91,7 @@
     }
 
     /// Returns the peers' work at one service: seconds of backlog, and calls by target.
-    pub fn service_load(&self, service: &str) -> (f64, BTreeMap<TargetMark, u32>) {
+    pub fn service_load(&self, service: &str) -> (f64, BTreeMap<TargetHash, u32>) {
         let mut backlog_ms = 0.0;
         let mut inflight = BTreeMap::new();
         for (_, digest) in self.peers.values() {
--- a/packages/turnford-fleet/src/duty.rs
+++ b/packages/turnford-fleet/src/duty.rs
@@ -68,7 +68,7 @@
 /// Tells whether a member has run long enough to take duties whose doer has state to lose. While
 /// members are restarted one after the other, duties stay with those that have not been yet; where
 /// all are new, all take them.
-pub fn is_settled(age: Duration, longest: Duration) -> bool {
+pub fn is_duty_eligible(age: Duration, longest: Duration) -> bool {
     age >= SETTLED_AGE || age >= longest.mul_f64(SETTLED_PART)
 }
 
@@ -81,12 +81,12 @@
 }
 
 /// Groups of accounts; each has one lender.
-pub const GROUP_COUNT: u16 = 4;
+pub const ACCOUNT_GROUP_COUNT: u16 = 4;
 
 /// Returns the group whose lender lends an account's limits. It must be the same on every node, or
 /// an account would have two lenders.
-pub fn group_account(account: &str) -> u16 {
+pub fn account_group(account: &str) -> u16 {
     let mut hasher = SipHasher13::new();
     hasher.write(account.as_bytes());
-    (hasher.finish() % u64::from(GROUP_COUNT)) as u16
+    (hasher.finish() % u64::from(ACCOUNT_GROUP_COUNT)) as u16
 }
--- a/packages/turnford-fleet/src/envelope.rs
+++ b/packages/turnford-fleet/src/envelope.rs
@@ -13,7 +13,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EnvelopeChange {
     /// Random mark of the writer, never used twice.
-    pub mark: String,
+    #[serde(rename = "mark")]
+    pub write_id: String,
     /// Who wrote, as the operator's tool names itself.
     pub author: String,
     /// What was done: `apply` or `delete`.
@@ -43,12 +44,12 @@
     }
 
     /// Tells whether a change with this mark took effect.
-    pub fn has_mark(&self, mark: &str) -> bool {
-        self.changes.iter().any(|change| change.mark == mark)
+    pub fn has_write(&self, mark: &str) -> bool {
+        self.changes.iter().any(|change| change.write_id == mark)
     }
 
     /// Tells whether changes older than those kept may exist.
-    pub fn is_cut(&self) -> bool {
+    pub fn is_truncated(&self) -> bool {
         self.changes.len() >= CHANGE_LIMIT
     }
 
--- a/packages/turnford-fleet/src/lease.rs
+++ b/packages/turnford-fleet/src/lease.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use crate::lease_record::LeaseAction;
-use crate::lease_record::LeaseAnswer;
+use crate::lease_record::LeaseOutcome;
 use crate::lease_record::LeaseRecord;
 use crate::lease_record::LeaseSettings;
 use crate::Moment;
@@ -57,11 +57,11 @@
     }
 
     fn is_same(&self, version: Version, record: Option<&LeaseRecord>) -> bool {
-        self.version == version && self.mark() == record.map(|record| record.mark)
+        self.version == version && self.mark() == record.map(|record| record.write_id)
     }
 
     fn mark(&self) -> Option<u64> {
-        self.record.as_ref().map(|record| record.mark)
+        self.record.as_ref().map(|record| record.write_id)
     }
 }
 
@@ -147,13 +147,13 @@
 
     /// Raises the least token of terms that begin from now on, so that tokens rise also where the
     /// platform lost the record of the last one.
-    pub fn raise_token(&mut self, floor: Version) {
+    pub fn raise_token_floor(&mut self, floor: Version) {
         self.token_floor = self.token_floor.max(floor);
     }
 
     /// Notes what the answer that is noted next tells of the platform: how long before it the platform last
     /// came back from a copy.
-    pub fn note_restored(&mut self, ago: Option<Duration>) {
+    pub fn set_restored_ago(&mut self, ago: Option<Duration>) {
         self.restored_ago = ago;
     }
 
@@ -188,7 +188,7 @@
         }
         // An act that began just before may still take effect; the lease is given back after it.
         let retiring = self.retiring.filter(|_| self.held.is_some());
-        if retiring.is_some_and(|since| now < since + self.settings.longest_use) {
+        if retiring.is_some_and(|since| now < since + self.settings.max_action_time) {
             return None;
         }
         self.call_sent = Some(now);
@@ -209,7 +209,7 @@
         clean: bool,
     ) -> Option<(Version, LeaseWrite)> {
         let observed = self.observed.as_ref().filter(|_| !self.must_read)?;
-        let is_fresh = now.saturating_sub(observed.read_at) <= self.settings.span / RENEWALS;
+        let is_fresh = now.saturating_sub(observed.read_at) <= self.settings.duration / RENEWALS;
         let is_due = match self.held.map(|held| held.phase) {
             _ if !wanted => true,
             Some(HoldPhase::Active) => true,
@@ -233,7 +233,7 @@
         self.next_mark = self.next_mark.wrapping_add(1);
         let mut record = LeaseRecord {
             holder: self.name.clone(),
-            mark: self.next_mark,
+            write_id: self.next_mark,
             clean: false,
             token,
             pending: held.is_none(),
@@ -270,7 +270,7 @@
             .as_ref()
             .is_some_and(|record| record.pending);
         let span = if pending && observed.is_new {
-            self.settings.span + self.settings.effect_span()
+            self.settings.duration + self.settings.effect_span()
         } else {
             self.settings.usable_span()
         };
@@ -278,31 +278,31 @@
     }
 
     /// Takes the end of a call.
-    pub fn note(&mut self, now: Moment, answer: LeaseAnswer) {
+    pub fn handle_outcome(&mut self, now: Moment, answer: LeaseOutcome) {
         let Some(sent) = self.call_sent.take() else {
             debug_assert!(false, "no call is under way");
             return;
         };
-        self.next_call = now + self.settings.span / RENEWALS;
+        self.next_call = now + self.settings.duration / RENEWALS;
         let writing = self.writing.take();
         let restored_ago = self.restored_ago.take();
         match answer {
-            LeaseAnswer::Found(found) => self.note_found(now, sent, found, restored_ago),
-            LeaseAnswer::Accepted(version) => {
+            LeaseOutcome::Found(found) => self.note_found(now, sent, found, restored_ago),
+            LeaseOutcome::Accepted(version) => {
                 if let Some(write) = writing {
                     self.note_written(now, version, write, restored_ago);
                 }
             }
-            LeaseAnswer::Conflict => {
+            LeaseOutcome::Conflict => {
                 self.drop_hold();
                 self.next_call = now;
             }
             // A write whose answer is lost may have taken effect. The next step reads, and finds
             // the record by its mark if it did.
-            LeaseAnswer::Failed => {
+            LeaseOutcome::Failed => {
                 self.lost = writing;
                 self.must_read = true;
-                self.next_call = now + self.settings.span / RETRIES;
+                self.next_call = now + self.settings.duration / RETRIES;
             }
         }
     }
@@ -343,7 +343,7 @@
         let known = self.observed.as_mut();
         let same = known.filter(|known| known.is_same(version, record.as_ref()));
         if let Some(known) = same {
-            if sent.saturating_sub(known.read_at) > self.settings.span / GAP_PART {
+            if sent.saturating_sub(known.read_at) > self.settings.duration / GAP_PART {
                 known.since = now;
             }
             known.read_at = sent;
@@ -364,7 +364,7 @@
         record: Option<LeaseRecord>,
     ) {
         let token = record.as_ref().map_or(0, |record| record.token);
-        self.raise_token(token.saturating_add(1));
+        self.raise_token_floor(token.saturating_add(1));
         let is_new = self.observed.is_some() || self.met_writer;
         self.met_writer = false;
         self.observed = Some(ObservedLease {
@@ -385,7 +385,7 @@
         if held.phase == HoldPhase::Active {
             return;
         }
-        held.end = sent + self.settings.span;
+        held.end = sent + self.settings.duration;
         if restored_ago.is_some_and(|ago| ago < now.saturating_sub(held.taken_at)) {
             held.taken_at = now;
             held.phase = HoldPhase::Waiting(now + self.settings.effect_span());
@@ -416,7 +416,7 @@
     /// return of the platform, may have replaced another node's record.
     fn renewed(&self, now: Moment, restored_ago: Option<Duration>) -> Option<HeldLease> {
         let held = self.held.filter(|held| now < held.end)?;
-        let known_at = held.end.saturating_sub(self.settings.span);
+        let known_at = held.end.saturating_sub(self.settings.duration);
         let is_unbroken = restored_ago.is_none_or(|ago| ago >= now.saturating_sub(known_at));
         let is_usable = !matches!(held.phase, HoldPhase::Waiting(_));
         (is_unbroken && is_usable).then_some(held)
@@ -463,10 +463,10 @@
             token: record.token,
             over_clean,
             taken_at,
-            end: sent + self.settings.span,
+            end: sent + self.settings.duration,
             phase,
         });
-        self.raise_token(record.token.saturating_add(1));
+        self.raise_token_floor(record.token.saturating_add(1));
         self.observed = Some(ObservedLease {
             version,
             record: Some(record),
--- a/packages/turnford-fleet/src/lease_record.rs
+++ b/packages/turnford-fleet/src/lease_record.rs
@@ -9,19 +9,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
     /// How long a renewal holds.
-    pub span: Duration,
+    pub duration: Duration,
     /// How long before its end the holder stops using it.
     pub margin: Duration,
     /// Longest time for which an act begun under the lease can take effect after its end.
-    pub longest_use: Duration,
+    pub max_action_time: Duration,
 }
 
 impl Default for LeaseSettings {
     fn default() -> Self {
         Self {
-            span: Duration::from_secs(4),
+            duration: Duration::from_secs(4),
             margin: Duration::from_secs(1),
-            longest_use: Duration::from_secs(1),
+            max_action_time: Duration::from_secs(1),
         }
     }
 }
@@ -29,12 +29,12 @@
 impl LeaseSettings {
     /// Returns the time after a renewal from which its holder no longer begins acts.
     pub(crate) fn usable_span(&self) -> Duration {
-        self.span.saturating_sub(self.margin)
+        self.duration.saturating_sub(self.margin)
     }
 
     /// Returns the time after a renewal from which no act of its holder can take effect.
     pub(crate) fn effect_span(&self) -> Duration {
-        self.usable_span() + self.longest_use
+        self.usable_span() + self.max_action_time
     }
 }
 
@@ -44,7 +44,8 @@
     /// Node that holds it; empty once it was given back.
     pub holder: NodeName,
     /// Unique mark of the write.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub write_id: u64,
     /// True on a lease that was given back with nothing done under it that may still hold.
     pub clean: bool,
     /// Fencing token of the term; it rises from term to term.
@@ -71,7 +72,7 @@
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LeaseAnswer {
+pub enum LeaseOutcome {
     /// The object as read; `None` if it is absent.
     Found(Option<(Version, LeaseRecord)>),
     /// The write was accepted with this version.
--- a/packages/turnford-fleet/src/lender.rs
+++ b/packages/turnford-fleet/src/lender.rs
@@ -37,7 +37,7 @@
 
 /// The nodes that a lender heard of, for all accounts of its group.
 #[derive(Debug)]
-pub struct HeardNodes {
+pub struct NodeContacts {
     token: Version,
     began: Moment,
     fleet_size: u32,
@@ -74,7 +74,7 @@
     nodes: BTreeMap<NodeName, NodeShare>,
 }
 
-impl HeardNodes {
+impl NodeContacts {
     /// Starts at the begin of a lease's term.
     pub fn new(now: Moment, token: Version, fleet_size: u32) -> Self {
         Self {
@@ -86,7 +86,7 @@
     }
 
     /// Notes the stamp that a node sent back, and returns the stamp for the reply.
-    pub fn note(&mut self, now: Moment, node: &str, stamp: LenderStamp) -> LenderStamp {
+    pub fn record_contact(&mut self, now: Moment, node: &str, stamp: LenderStamp) -> LenderStamp {
         self.at.retain(|_, at| now.saturating_sub(*at) < SILENCE);
         if stamp.token == self.token {
             self.at
@@ -152,7 +152,7 @@
         now: Moment,
         node: &str,
         demand: &ShareDemand,
-        heard: &HeardNodes,
+        heard: &NodeContacts,
     ) -> Option<ShareGrant> {
         self.nodes.retain(|_, other| other.expire(now));
         let mut own = self.nodes.remove(node).unwrap_or_default();
@@ -199,8 +199,8 @@
 
     /// Returns what the others leave of the limit: what they may use, the even part of each node that
     /// was not heard of, and one place for each that was heard of and has none.
-    fn room(&self, now: Moment, heard: &HeardNodes) -> ShareSize {
-        let part = self.limit.part(heard.fleet_size);
+    fn room(&self, now: Moment, heard: &NodeContacts) -> ShareSize {
+        let part = self.limit.even_share(heard.fleet_size);
         let silent = heard.silent(now);
         let mut rate = part.rate * f64::from(silent);
         let mut concurrency = part.concurrency * silent;
--- a/packages/turnford-fleet/src/limit_bucket.rs
+++ b/packages/turnford-fleet/src/limit_bucket.rs
@@ -24,11 +24,11 @@
 
 /// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
-pub enum PermitUse {
+pub enum PermitPurpose {
     /// A request or pieces.
     Work,
     /// What a target's work needs beside that: reports, releases, questions.
-    Upkeep,
+    Maintenance,
 }
 
 /// A token bucket; it starts empty.
@@ -69,8 +69,8 @@
     }
 
     /// Lets a call through; false if none is free.
-    pub(crate) fn take(&mut self, now: Moment, purpose: PermitUse) -> bool {
-        let is_upkeep = purpose == PermitUse::Upkeep;
+    pub(crate) fn take(&mut self, now: Moment, purpose: PermitPurpose) -> bool {
+        let is_upkeep = purpose == PermitPurpose::Maintenance;
         if self.tokens < 1.0 || (is_upkeep && self.upkeep < 1.0) {
             return false;
         }
@@ -89,12 +89,12 @@
     }
 
     /// Returns the time until a call for this is free.
-    pub(crate) fn wait(&self, purpose: PermitUse) -> Duration {
+    pub(crate) fn wait(&self, purpose: PermitPurpose) -> Duration {
         let work = (1.0 - self.tokens).max(0.0) / self.rate;
         let upkeep = (1.0 - self.upkeep).max(0.0) / (self.rate * UPKEEP_PART);
         let wait = match purpose {
-            PermitUse::Work => work,
-            PermitUse::Upkeep => work.max(upkeep),
+            PermitPurpose::Work => work,
+            PermitPurpose::Maintenance => work.max(upkeep),
         };
         let wait = Duration::try_from_secs_f64(wait).unwrap_or(LONGEST_WAIT);
         wait.min(LONGEST_WAIT)
--- a/packages/turnford-fleet/src/limit_divider.rs
+++ b/packages/turnford-fleet/src/limit_divider.rs
@@ -13,15 +13,15 @@
 use crate::limit_record::LimitRecord;
 use crate::turn_line::CallSupply;
 use crate::Moment;
-use crate::PermitUse;
-use crate::TurnAnswer;
-use crate::TurnAsk;
-use crate::TurnLine;
-use crate::TurnRanks;
+use crate::PermitDecision;
+use crate::PermitPurpose;
+use crate::PermitQueue;
+use crate::PermitRanks;
+use crate::QueuedRequest;
 
 /// Time for which a permit holds, counted by who asked for it from before it asked. It bounds what may
 /// still be sent when another node divides.
-pub const PERMIT_SPAN: Duration = Duration::from_millis(500);
+pub const PERMIT_LIFETIME: Duration = Duration::from_millis(500);
 
 /// Time in which a node that begins to divide gives out a part only: the one before it may not know yet
 /// that it does so no longer.
@@ -70,16 +70,16 @@
 
 /// Divides the limits of one service's targets.
 #[derive(Clone, Debug)]
-pub struct LimitDivider {
+pub struct LimitAllocator {
     began: Moment,
     /// Whether this node reaches at least half of those that may be alive.
     reaches_half: bool,
     sequence: u64,
     targets: BTreeMap<TargetId, DividedTarget>,
-    line: TurnLine,
+    line: PermitQueue,
 }
 
-impl LimitDivider {
+impl LimitAllocator {
     /// Begins to divide.
     pub fn new(now: Moment) -> Self {
         Self {
@@ -87,7 +87,7 @@
             reaches_half: true,
             sequence: 0,
             targets: BTreeMap::new(),
-            line: TurnLine::default(),
+            line: PermitQueue::default(),
         }
     }
 
@@ -105,12 +105,12 @@
 
     /// Notes whether this node reaches at least half of those that may be alive. A part of the fleet that is cut off
     /// may divide for itself.
-    pub fn note_reach(&mut self, reaches_half: bool) {
+    pub fn set_reaches_half(&mut self, reaches_half: bool) {
         self.reaches_half = reaches_half;
     }
 
     /// Takes a target's word as some node heard it.
-    pub fn note_word(
+    pub fn observe(
         &mut self,
         now: Moment,
         target: &TargetId,
@@ -147,13 +147,13 @@
     }
 
     /// Forgets targets that are gone or started again.
-    pub fn keep_only(&mut self, is_there: impl Fn(&TargetId, ProcessStart) -> bool) {
+    pub fn retain_listed(&mut self, is_there: impl Fn(&TargetId, ProcessStart) -> bool) {
         self.targets
             .retain(|target, divided| is_there(target, divided.born));
     }
 
     /// Returns what is new since the last such call.
-    pub fn take_news(&mut self, now: Moment) -> Vec<LimitEntry> {
+    pub fn take_updates(&mut self, now: Moment) -> Vec<LimitEntry> {
         let mut news = Vec::new();
         for (target, divided) in &mut self.targets {
             let state = divided.record.state(now);
@@ -186,7 +186,7 @@
     }
 
     /// Tells whether a call to a target is free now.
-    pub fn has_room(&mut self, now: Moment, target: &str) -> bool {
+    pub fn has_capacity(&mut self, now: Moment, target: &str) -> bool {
         self.advance(now, target);
         let divided = self.targets.get(target);
         divided.is_none_or(|divided| {
@@ -199,7 +199,12 @@
     /// # Errors
     ///
     /// Returns the time until one is free.
-    pub fn take(&mut self, now: Moment, target: &str, purpose: PermitUse) -> Result<(), Duration> {
+    pub fn take(
+        &mut self,
+        now: Moment,
+        target: &str,
+        purpose: PermitPurpose,
+    ) -> Result<(), Duration> {
         self.advance(now, target);
         let divided = self.targets.get_mut(target);
         let limited = divided.filter(|divided| divided.record.rate(now).is_some());
@@ -213,9 +218,14 @@
     }
 
     /// Tells a request whether it is its turn at these targets, which all have limits.
-    pub fn ask_turn(&mut self, now: Moment, ask: &TurnAsk, targets: &[TargetId]) -> TurnAnswer {
+    pub fn request_permit(
+        &mut self,
+        now: Moment,
+        ask: &QueuedRequest,
+        targets: &[TargetId],
+    ) -> PermitDecision {
         let supply = self.supply(now, targets);
-        self.line.ask(now, ask, supply)
+        self.line.request(now, ask, supply)
     }
 
     /// Returns the time until the turn of a request like this comes, with so many that were let in before
@@ -223,7 +233,7 @@
     pub fn forecast(
         &mut self,
         now: Moment,
-        ranks: TurnRanks,
+        ranks: PermitRanks,
         coming: usize,
         targets: &[TargetId],
     ) -> Option<Duration> {
@@ -236,9 +246,14 @@
     }
 
     /// Chooses when a request should come back that would be late by so much.
-    pub fn plan_return(&mut self, now: Moment, late: Duration, targets: &[TargetId]) -> Duration {
+    pub fn schedule_retry(
+        &mut self,
+        now: Moment,
+        late: Duration,
+        targets: &[TargetId],
+    ) -> Duration {
         let rate = self.supply(now, targets).rate();
-        self.line.plan_return(now, late, rate)
+        self.line.schedule_retry(now, late, rate)
     }
 
     /// Returns the targets that had no call for a while, so that nobody would hear that they are well
--- a/packages/turnford-fleet/src/limit_division.rs
+++ b/packages/turnford-fleet/src/limit_division.rs
@@ -8,47 +8,47 @@
 use turnford_policy::ProcessStart;
 use turnford_policy::TargetId;
 
-use crate::DividerId;
-use crate::LimitDivider;
+use crate::AllocatorId;
+use crate::LimitAllocator;
 use crate::LimitTerm;
 use crate::Moment;
 
 /// How a node finds the one that divides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HolderSight {
+pub enum HolderStatus {
     /// It was heard lately.
-    Heard,
+    Reachable,
     /// Nothing tells.
     Unknown,
     /// It gave no answer lately, or takes no work.
-    Lost,
+    Unreachable,
 }
 
 /// What a node does for one that asks for a permit.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DivisionRole {
+pub enum AllocationRole {
     /// It divides.
-    Divides {
+    Allocates {
         /// Whether it did not before, so that others have to be told.
         is_new: bool,
     },
     /// Another one divides.
-    Elsewhere(LimitTerm),
+    Remote(LimitTerm),
     /// Another one divides that the asking node finds lost; this node has to look first.
-    Doubted(LimitTerm),
+    Unconfirmed(LimitTerm),
 }
 
 /// Who divides.
 #[derive(Clone, Debug)]
-pub struct LimitDivision {
-    own: DividerId,
+pub struct AllocatorElection {
+    own: AllocatorId,
     term: Option<LimitTerm>,
-    divider: Option<LimitDivider>,
+    divider: Option<LimitAllocator>,
 }
 
-impl LimitDivision {
+impl AllocatorElection {
     /// Starts without knowing who divides.
-    pub fn new(own: DividerId) -> Self {
+    pub fn new(own: AllocatorId) -> Self {
         Self {
             own,
             term: None,
@@ -62,12 +62,12 @@
     }
 
     /// Returns the divider if this node divides.
-    pub fn divider(&mut self) -> Option<&mut LimitDivider> {
+    pub fn allocator(&mut self) -> Option<&mut LimitAllocator> {
         self.divider.as_mut()
     }
 
     /// Takes another node's word on who divides; true if it is new. This node stops if it is not the one.
-    pub fn note_term(&mut self, term: &LimitTerm) -> bool {
+    pub fn observe_term(&mut self, term: &LimitTerm) -> bool {
         let is_later = self.term.as_ref().is_none_or(|known| known < term);
         if is_later {
             self.term = Some(term.clone());
@@ -80,36 +80,36 @@
 
     /// Finds out who divides for a node that asks this one, knowing a term; `sight` tells of the process
     /// that holds it, and `known` is what this node knows of limits.
-    pub fn enter<'a>(
+    pub fn resolve<'a>(
         &mut self,
         now: Moment,
         asked: Option<&LimitTerm>,
-        sight: impl FnOnce(&DividerId) -> HolderSight,
+        sight: impl FnOnce(&AllocatorId) -> HolderStatus,
         known: impl Iterator<Item = (&'a TargetId, ProcessStart, LimitState)>,
-    ) -> DivisionRole {
+    ) -> AllocationRole {
         if let Some(asked) = asked {
-            self.note_term(asked);
+            self.observe_term(asked);
         }
         if self.divider.is_some() {
-            return DivisionRole::Divides { is_new: false };
+            return AllocationRole::Allocates { is_new: false };
         }
         if let Some(term) = &self.term {
             // One that ended under its name is lost.
             let is_own = term.holder.name == self.own.name;
             let sight = if is_own {
-                HolderSight::Lost
+                HolderStatus::Unreachable
             } else {
                 sight(&term.holder)
             };
-            if asked < Some(term) || sight == HolderSight::Heard {
-                return DivisionRole::Elsewhere(term.clone());
+            if asked < Some(term) || sight == HolderStatus::Reachable {
+                return AllocationRole::Remote(term.clone());
             }
-            if sight == HolderSight::Unknown {
-                return DivisionRole::Doubted(term.clone());
+            if sight == HolderStatus::Unknown {
+                return AllocationRole::Unconfirmed(term.clone());
             }
         }
         self.begin(now, known);
-        DivisionRole::Divides { is_new: true }
+        AllocationRole::Allocates { is_new: true }
     }
 
     fn begin<'a>(
@@ -122,7 +122,7 @@
             number,
             holder: self.own.clone(),
         });
-        let mut divider = LimitDivider::new(now);
+        let mut divider = LimitAllocator::new(now);
         for (target, born, state) in known {
             divider.adopt(now, target, born, state);
         }
--- a/packages/turnford-fleet/src/limit_term.rs
+++ b/packages/turnford-fleet/src/limit_term.rs
@@ -6,7 +6,7 @@
 
 /// A process that may divide limits.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, bincode::Encode, bincode::Decode)]
-pub struct DividerId {
+pub struct AllocatorId {
     /// Name of the node.
     pub name: NodeName,
     /// Start of its process, in milliseconds of the time of day.
@@ -22,5 +22,5 @@
     /// Number of the term, one more than that of the one before.
     pub number: u64,
     /// Who divides.
-    pub holder: DividerId,
+    pub holder: AllocatorId,
 }
--- a/packages/turnford-fleet/src/member.rs
+++ b/packages/turnford-fleet/src/member.rs
@@ -178,7 +178,7 @@
     }
 
     /// Notes that a probe stayed without an answer, direct and indirect.
-    pub fn note_silent(&mut self, now: Moment, name: &str) {
+    pub fn record_probe_failure(&mut self, now: Moment, name: &str) {
         let Some(record) = self.members.get(name) else {
             return;
         };
--- a/packages/turnford-fleet/src/order.rs
+++ b/packages/turnford-fleet/src/order.rs
@@ -67,7 +67,7 @@
         record: OrderRecord,
     },
     /// Give an order, if the lease still holds when the call is about to be made.
-    Give {
+    Send {
         /// The order.
         order: TargetOrder,
         /// Token to send with it.
@@ -77,7 +77,7 @@
 
 /// How an act ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderOutcome {
     /// The object as read; `None` if it is absent.
     Found(Option<(Version, OrderRecord)>),
     /// The write was accepted with this version.
@@ -91,7 +91,7 @@
     /// The target did not take the order, or its answer is lost.
     NotDone,
     /// The order must wait, for the lease or the weight store.
-    Later(Duration),
+    Deferred(Duration),
 }
 
 /// What is under way.
@@ -104,7 +104,7 @@
 
 /// One service's orders on one node.
 #[derive(Debug, Default)]
-pub struct OrderBook {
+pub struct OrderQueue {
     known: Option<(Version, OrderRecord)>,
     call: Option<OrderCall>,
     ended: BTreeSet<TargetOrder>,
@@ -113,7 +113,7 @@
     next_call: Moment,
 }
 
-impl OrderBook {
+impl OrderQueue {
     /// Makes a book that knows nothing yet.
     pub fn new() -> Self {
         Self::default()
@@ -130,7 +130,7 @@
     }
 
     /// Returns the intents known to be open.
-    pub fn open(&self) -> &[TargetOrder] {
+    pub fn open_intents(&self) -> &[TargetOrder] {
         self.known
             .as_ref()
             .map_or(&[], |(_, record)| &record.intents)
@@ -171,33 +171,33 @@
         }
         let order = record.intents.into_iter().next()?;
         self.call = Some(OrderCall::Give(order.clone()));
-        Some(OrderAction::Give { order, token })
+        Some(OrderAction::Send { order, token })
     }
 
     /// Takes the end of an act.
-    pub fn note(&mut self, now: Moment, answer: OrderAnswer) {
+    pub fn handle_outcome(&mut self, now: Moment, answer: OrderOutcome) {
         let Some(call) = self.call.take() else {
             debug_assert!(false, "no act is under way");
             return;
         };
         self.next_call = now + CALL_PAUSE;
         match (call, answer) {
-            (OrderCall::Read, OrderAnswer::Found(found)) => {
+            (OrderCall::Read, OrderOutcome::Found(found)) => {
                 self.known = Some(found.unwrap_or_default());
                 self.ended.clear();
             }
-            (OrderCall::Write(record), OrderAnswer::Accepted(version)) => {
+            (OrderCall::Write(record), OrderOutcome::Accepted(version)) => {
                 self.ended.retain(|order| record.intents.contains(order));
                 self.known = Some((version, record));
             }
-            (OrderCall::Give(order), OrderAnswer::Done) => {
+            (OrderCall::Give(order), OrderOutcome::Done) => {
                 self.tries = 0;
                 self.failures = 0;
                 self.ended.insert(order);
             }
-            (OrderCall::Give(order), OrderAnswer::NotDone) => self.note_not_done(now, order),
-            (_, OrderAnswer::Later(wait)) => self.next_call = now + wait.max(CALL_PAUSE),
-            (_, OrderAnswer::Failed) => self.next_call = now + FAULT_PAUSE,
+            (OrderCall::Give(order), OrderOutcome::NotDone) => self.note_not_done(now, order),
+            (_, OrderOutcome::Deferred(wait)) => self.next_call = now + wait.max(CALL_PAUSE),
+            (_, OrderOutcome::Failed) => self.next_call = now + FAULT_PAUSE,
             _ => self.known = None,
         }
     }
--- a/packages/turnford-fleet/src/placement.rs
+++ b/packages/turnford-fleet/src/placement.rs
@@ -18,7 +18,7 @@
     /// Models and adapters present.
     pub models: Vec<String>,
     /// Models and adapters that it can hold.
-    pub room: usize,
+    pub model_capacity: usize,
 }
 
 /// Returns the orders that would serve a demand, given in busy slots by model.
@@ -68,7 +68,7 @@
         kind,
         model: model.to_owned(),
     };
-    if target.models.len() < target.room {
+    if target.models.len() < target.model_capacity {
         return Some(order(OrderKind::Load, model));
     }
     let others: Vec<ModelTarget> = targets
--- a/packages/turnford-fleet/src/share.rs
+++ b/packages/turnford-fleet/src/share.rs
@@ -75,7 +75,7 @@
 impl ShareSize {
     /// Returns one node's even part. The concurrency is rounded down, so the parts never add up to
     /// more than the whole.
-    pub fn part(self, fleet_size: u32) -> Self {
+    pub fn even_share(self, fleet_size: u32) -> Self {
         let nodes = fleet_size.max(1);
         Self {
             rate: self.rate / f64::from(nodes),
@@ -109,7 +109,7 @@
             return;
         }
         self.limit = limit;
-        let part = limit.part(self.fleet_size);
+        let part = limit.even_share(self.fleet_size);
         if let Some((_, size)) = &mut self.grant {
             *size = size.min(part);
         }
@@ -125,7 +125,7 @@
 
     /// Notes that the lender answered without being asked for this account: it counts nothing here
     /// once the last grant is over.
-    pub fn forget_ended(&mut self, now: Moment) {
+    pub fn clear_expired(&mut self, now: Moment) {
         if self.grant.is_some_and(|(ends, _)| now >= ends) {
             self.grant = None;
         }
@@ -145,7 +145,7 @@
         if self.fleet_size == 1 {
             return self.limit;
         }
-        let part = self.limit.part(self.fleet_size);
+        let part = self.limit.even_share(self.fleet_size);
         match self.grant {
             Some((ends, size)) if now < ends => size,
             _ if now >= contact + FALLBACK_WAIT => part,
--- a/packages/turnford-fleet/src/trial.rs
+++ b/packages/turnford-fleet/src/trial.rs
@@ -14,13 +14,13 @@
 const NEWS_SPAN: Duration = Duration::from_secs(1);
 
 /// Number of a trial, given by whoever places the request.
-pub type TrialTicket = u64;
+pub type TrialId = u64;
 
 /// Whether a request may run now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TrialEntry {
+pub enum TrialAdmission {
     /// Like any other.
-    Freely,
+    Unrestricted,
     /// As the only copy of it.
     OnTrial {
         /// Whether no other suspect may share its target.
@@ -74,29 +74,29 @@
 /// The suspects of one service that run now: each once at a time in the whole fleet, so that a
 /// request which crashes targets ends one of them, not as many as it has copies.
 #[derive(Clone, Debug, Default)]
-pub struct TrialLedger {
-    runs: HashMap<TrialTicket, TrialRun>,
+pub struct TrialTable {
+    runs: HashMap<TrialId, TrialRun>,
     open: HashMap<RequestDigest, OpenTrial>,
     /// What is known of the request that entered last.
     entered: KnownCrashes,
 }
 
-impl TrialLedger {
+impl TrialTable {
     /// Returns whether a request may run now, by what is known of it. After a trial the next one waits
     /// until it is known how that ended: a crash may be the last one that it takes to refuse the request.
-    pub fn enter(
+    pub fn admit(
         &mut self,
         now: Moment,
         digest: &RequestDigest,
         verdict: CrashVerdict,
-    ) -> TrialEntry {
+    ) -> TrialAdmission {
         self.forget(now);
         let (is_alone, crashes, trials) = match verdict {
-            CrashVerdict::Sound => {
+            CrashVerdict::Clear => {
                 self.open.remove(digest);
-                return TrialEntry::Freely;
+                return TrialAdmission::Unrestricted;
             }
-            CrashVerdict::Refused(until) => return TrialEntry::Refused(until),
+            CrashVerdict::Refused(until) => return TrialAdmission::Refused(until),
             CrashVerdict::Suspect {
                 is_alone,
                 crashes,
@@ -104,17 +104,17 @@
             } => (is_alone, crashes, trials),
         };
         if self.runs.values().any(|run| run.digest == *digest) {
-            return TrialEntry::Held;
+            return TrialAdmission::Held;
         }
         self.entered = KnownCrashes { crashes, trials };
         let open = self.open.get(digest);
         if open.is_some_and(|open| !open.has_crashed(self.entered)) {
-            return TrialEntry::Held;
+            return TrialAdmission::Held;
         }
         self.open.remove(digest);
         let runs = self.runs.values();
         let taken = runs.filter(|run| is_alone || run.is_alone);
-        TrialEntry::OnTrial {
+        TrialAdmission::OnTrial {
             is_alone,
             taken: taken.map(|run| run.target.clone()).collect(),
         }
@@ -123,7 +123,7 @@
     /// Notes that a suspect runs from now on.
     pub fn start(
         &mut self,
-        ticket: TrialTicket,
+        ticket: TrialId,
         digest: RequestDigest,
         target: TargetId,
         is_alone: bool,
@@ -140,7 +140,7 @@
     }
 
     /// Notes that a trial is over.
-    pub fn end(&mut self, ticket: TrialTicket) {
+    pub fn end(&mut self, ticket: TrialId) {
         let Some(run) = self.runs.remove(&ticket) else {
             return;
         };
--- a/packages/turnford-fleet/src/turn_line.rs
+++ b/packages/turnford-fleet/src/turn_line.rs
@@ -10,7 +10,7 @@
 use crate::Moment;
 
 /// Ranks of a request: that of its account, which goes first, and that of its route.
-pub type TurnRanks = (ClassRank, ClassRank);
+pub type PermitRanks = (ClassRank, ClassRank);
 
 /// Time for which a request may wait and be refused all the same, since more urgent ones came. From then
 /// on those that would make it late go behind it.
@@ -33,26 +33,26 @@
 
 /// A request that asks for its turn.
 #[derive(Clone, Debug)]
-pub struct TurnAsk {
+pub struct QueuedRequest {
     /// Number of the request; it keeps it while it waits.
     pub number: u64,
     /// Its ranks; 0 goes first.
-    pub ranks: TurnRanks,
+    pub ranks: PermitRanks,
     /// When it was first asked for.
-    pub begun: Moment,
+    pub requested_at: Moment,
     /// When it must be sent at the latest.
-    pub latest: Moment,
+    pub deadline: Moment,
 }
 
 /// Whether it is a request's turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TurnAnswer {
+pub enum PermitDecision {
     /// It is.
-    Now,
+    Granted,
     /// Not yet; it has a place, and should ask again after this time.
     Wait(Duration),
     /// It can't be sent in time; there will be room for one like it after this time.
-    Never(Duration),
+    Rejected(Duration),
 }
 
 /// Calls that the targets take.
@@ -106,7 +106,7 @@
 /// A request that waits.
 #[derive(Clone, Debug)]
 struct TurnEntry {
-    ask: TurnAsk,
+    ask: QueuedRequest,
     /// Whether it waits for so long that nobody may take its place.
     is_kept: bool,
     /// When it is forgotten unless it asks again.
@@ -139,14 +139,14 @@
 
 /// The requests of all nodes that wait, the most urgent first.
 #[derive(Clone, Debug, Default)]
-pub struct TurnLine {
+pub struct PermitQueue {
     waiting: Vec<TurnEntry>,
-    arrivals: BTreeMap<TurnRanks, ArrivalRate>,
+    arrivals: BTreeMap<PermitRanks, ArrivalRate>,
     /// When the next request that is refused may come back.
     next_return: Moment,
 }
 
-impl TurnLine {
+impl PermitQueue {
     /// Returns how many wait.
     pub fn len(&self) -> usize {
         self.waiting.len()
@@ -158,7 +158,12 @@
     }
 
     /// Tells a request whether it is its turn.
-    pub fn ask(&mut self, now: Moment, ask: &TurnAsk, supply: CallSupply) -> TurnAnswer {
+    pub fn request(
+        &mut self,
+        now: Moment,
+        ask: &QueuedRequest,
+        supply: CallSupply,
+    ) -> PermitDecision {
         self.waiting.retain(|entry| now < entry.lost_at);
         let known = self.place_of(ask.number);
         let (place, rate) = match known {
@@ -176,16 +181,18 @@
             if known.is_some() {
                 self.waiting.remove(place);
             }
-            return TurnAnswer::Now;
+            return PermitDecision::Granted;
         }
-        if now.saturating_add(wait) > ask.latest {
+        if now.saturating_add(wait) > ask.deadline {
             if known.is_some() {
                 self.waiting.remove(place);
             }
-            let late = now.saturating_add(wait).saturating_sub(ask.latest.max(now));
-            return TurnAnswer::Never(self.plan_return(now, late, rate));
+            let late = now
+                .saturating_add(wait)
+                .saturating_sub(ask.deadline.max(now));
+            return PermitDecision::Rejected(self.schedule_retry(now, late, rate));
         }
-        TurnAnswer::Wait(self.keep(now, place, known.is_some(), ask, supply))
+        PermitDecision::Wait(self.keep(now, place, known.is_some(), ask, supply))
     }
 
     /// Returns the time until it is the turn of a request like this, with so many that will come before it;
@@ -193,7 +200,7 @@
     pub fn forecast(
         &self,
         now: Moment,
-        ranks: TurnRanks,
+        ranks: PermitRanks,
         coming: usize,
         supply: CallSupply,
     ) -> Duration {
@@ -203,7 +210,7 @@
     }
 
     /// Returns when a request should come back that would be late by so much, each at another time.
-    pub fn plan_return(&mut self, now: Moment, late: Duration, rate: CallRate) -> Duration {
+    pub fn schedule_retry(&mut self, now: Moment, late: Duration, rate: CallRate) -> Duration {
         let back = now.saturating_add(late).max(self.next_return);
         let longest = now + MAX_RETRY_AFTER;
         let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_RETRY_AFTER);
@@ -218,13 +225,13 @@
 
     /// Returns the place of a request that comes: before all that are less urgent, but behind those that
     /// are kept and would be late for it.
-    fn new_place(&self, now: Moment, ask: &TurnAsk, supply: CallSupply) -> usize {
+    fn new_place(&self, now: Moment, ask: &QueuedRequest, supply: CallSupply) -> usize {
         let goes_before = |entry: &TurnEntry| entry.ask.ranks <= ask.ranks;
         let place = self.waiting.iter().rposition(goes_before);
         let place = place.map_or(0, |place| place + 1);
         let would_be_late = |(place, entry): (usize, &TurnEntry)| {
             let turn = now.saturating_add(supply.wait(place + 1, supply.rate));
-            entry.is_kept && turn > entry.ask.latest
+            entry.is_kept && turn > entry.ask.deadline
         };
         let last = self.waiting.iter().enumerate().skip(place);
         let last = last.rev().find(|entry| would_be_late(*entry));
@@ -232,7 +239,7 @@
     }
 
     /// Returns the calls a second that are left for a rank beside what more urgent requests need.
-    fn rate_left(&self, now: Moment, ranks: TurnRanks, supply: CallSupply) -> CallRate {
+    fn rate_left(&self, now: Moment, ranks: PermitRanks, supply: CallSupply) -> CallRate {
         let urgent = self.arrivals.range(..ranks);
         let urgent: f64 = urgent.map(|(_, arrivals)| arrivals.rate(now)).sum();
         (supply.rate - urgent).max(supply.rate * LEAST_LEFT)
@@ -244,12 +251,12 @@
         now: Moment,
         place: usize,
         is_known: bool,
-        ask: &TurnAsk,
+        ask: &QueuedRequest,
         supply: CallSupply,
     ) -> Duration {
-        let is_kept = now.saturating_sub(ask.begun) >= KEEP_SPAN;
+        let is_kept = now.saturating_sub(ask.requested_at) >= KEEP_SPAN;
         let turn = supply.wait(place, supply.rate);
-        let kept_in = (ask.begun + KEEP_SPAN).saturating_sub(now);
+        let kept_in = (ask.requested_at + KEEP_SPAN).saturating_sub(now);
         let look = if is_kept { turn } else { turn.min(kept_in) };
         let look = look.clamp(LEAST_LOOK, LOOK_SPAN);
         let entry = TurnEntry {
--- a/packages/turnford-fleet/tests/claim_copies.rs
+++ b/packages/turnford-fleet/tests/claim_copies.rs
@@ -6,10 +6,10 @@
 
 use proptest::prelude::*;
 use turnford_fleet::ClaimAction;
-use turnford_fleet::ClaimAsk;
+use turnford_fleet::ClaimCommitter;
 use turnford_fleet::ClaimKey;
 use turnford_fleet::ClaimOwner;
-use turnford_fleet::ClaimRange;
+use turnford_fleet::ClaimRequest;
 use turnford_fleet::ClaimVerdict;
 use turnford_fleet::Moment;
 use turnford_fleet::RangeRead;
@@ -27,13 +27,13 @@
 struct World {
     now: Moment,
     stored: StoredRange,
-    range: ClaimRange,
+    range: ClaimCommitter,
 }
 
 impl World {
     /// Asks, and returns the answer.
-    fn ask(&mut self, ask: ClaimAsk) -> ClaimVerdict {
-        let ticket = self.range.ask(ask, self.now + ASK_LIFE).unwrap();
+    fn ask(&mut self, ask: ClaimRequest) -> ClaimVerdict {
+        let ticket = self.range.submit(ask, self.now + ASK_LIFE).unwrap();
         for _ in 0..1000 {
             let verdicts = self.step();
             if let Some((_, verdict)) = verdicts.into_iter().find(|(known, _)| *known == ticket) {
@@ -51,7 +51,7 @@
             Some(ClaimAction::Read) => {
                 let (version, bytes) = self.stored.clone();
                 self.range
-                    .note_read(self.now, RangeRead::Found(version, bytes));
+                    .handle_read(self.now, RangeRead::Found(version, bytes));
             }
             Some(ClaimAction::Write { expected, bytes }) => {
                 let write = if expected == self.stored.0 {
@@ -60,7 +60,7 @@
                 } else {
                     RangeWrite::Conflict
                 };
-                verdicts.extend(self.range.note_write(self.now, write));
+                verdicts.extend(self.range.handle_write(self.now, write));
             }
             None => {}
         }
@@ -69,7 +69,7 @@
 
     /// Starts a committer that remembers nothing.
     fn replace(&mut self) {
-        self.range = ClaimRange::new();
+        self.range = ClaimCommitter::new();
     }
 }
 
@@ -80,8 +80,8 @@
     }
 }
 
-fn take(key: ClaimKey, sequence: u64) -> ClaimAsk {
-    ClaimAsk::Take(key, owner(sequence))
+fn take(key: ClaimKey, sequence: u64) -> ClaimRequest {
+    ClaimRequest::Acquire(key, owner(sequence))
 }
 
 /// Guards against a second run of a request id whose claim was lost with the copy.
@@ -108,7 +108,7 @@
     assert_eq!(world.ask(take(KEY, 1)), ClaimVerdict::Granted);
     world.stored = copy;
     world.replace();
-    let finish = ClaimAsk::Finish(KEY, owner(1), 0);
+    let finish = ClaimRequest::Finish(KEY, owner(1), 0);
     assert_eq!(world.ask(finish), ClaimVerdict::Granted);
     assert!(matches!(world.ask(take(KEY, 2)), ClaimVerdict::Taken(_)));
 }
@@ -119,7 +119,7 @@
     let mut world = World::default();
     assert_eq!(world.ask(take(KEY, 1)), ClaimVerdict::Granted);
     let first = std::mem::take(&mut world.range);
-    let release = ClaimAsk::Release(KEY, owner(1));
+    let release = ClaimRequest::Release(KEY, owner(1));
     assert_eq!(world.ask(release), ClaimVerdict::Granted);
     world.range = first;
     world.now += Duration::from_secs(10);
@@ -166,7 +166,7 @@
                 }
                 Event::Finish(key) => {
                     if let Some(sequence) = granted[usize::from(key)] {
-                        world.ask(ClaimAsk::Finish([key; 16], owner(sequence), 0));
+                        world.ask(ClaimRequest::Finish([key; 16], owner(sequence), 0));
                     }
                 }
                 Event::Wait(millis) => world.now += Duration::from_millis(millis),
--- a/packages/turnford-fleet/tests/claim_race.rs
+++ b/packages/turnford-fleet/tests/claim_race.rs
@@ -6,11 +6,11 @@
 
 use proptest::prelude::*;
 use turnford_fleet::ClaimAction;
-use turnford_fleet::ClaimAsk;
 use turnford_fleet::ClaimBlock;
+use turnford_fleet::ClaimCommitter;
 use turnford_fleet::ClaimKey;
 use turnford_fleet::ClaimOwner;
-use turnford_fleet::ClaimRange;
+use turnford_fleet::ClaimRequest;
 use turnford_fleet::ClaimState;
 use turnford_fleet::ClaimTicket;
 use turnford_fleet::ClaimVerdict;
@@ -74,7 +74,7 @@
     now: Moment,
     store: Store,
     late: Vec<(Version, Vec<u8>)>,
-    committers: Vec<ClaimRange>,
+    committers: Vec<ClaimCommitter>,
     calls: Vec<Option<ClaimAction>>,
     asks: Vec<(usize, ClaimTicket, usize)>,
     owners: Vec<OwnerState>,
@@ -86,7 +86,7 @@
             now: Moment::ZERO,
             store: Store::default(),
             late: Vec::new(),
-            committers: (0..COMMITTERS).map(|_| ClaimRange::new()).collect(),
+            committers: (0..COMMITTERS).map(|_| ClaimCommitter::new()).collect(),
             calls: vec![None; COMMITTERS],
             asks: Vec::new(),
             owners: vec![OwnerState::Idle; OWNERS],
@@ -107,12 +107,12 @@
             Event::GiveUp { owner, committer } => self.give_up(owner, committer),
             Event::Finish { owner, committer } => {
                 if self.owners[owner] == OwnerState::Sent {
-                    let ask = ClaimAsk::Finish(key_of(owner), owner_id(owner), 0);
-                    self.committers[committer].ask(ask, self.now + Duration::from_secs(60));
+                    let ask = ClaimRequest::Finish(key_of(owner), owner_id(owner), 0);
+                    self.committers[committer].submit(ask, self.now + Duration::from_secs(60));
                 }
             }
             Event::Crash { committer } => {
-                self.committers[committer] = ClaimRange::new();
+                self.committers[committer] = ClaimCommitter::new();
                 if let Some(ClaimAction::Write { expected, bytes }) = self.calls[committer].take() {
                     self.late.push((expected, bytes));
                 }
@@ -128,9 +128,9 @@
             return;
         }
         self.owners[owner] = OwnerState::Asking;
-        let ask = ClaimAsk::Take(key_of(owner), owner_id(owner));
+        let ask = ClaimRequest::Acquire(key_of(owner), owner_id(owner));
         let expires = self.now + ASK_LIFE;
-        if let Some(ticket) = self.committers[committer].ask(ask, expires) {
+        if let Some(ticket) = self.committers[committer].submit(ask, expires) {
             self.asks.push((committer, ticket, owner));
         }
     }
@@ -151,7 +151,7 @@
                     Fate::Works => RangeRead::Found(self.store.version, self.store.bytes.clone()),
                     _ => RangeRead::Failed,
                 };
-                self.committers[committer].note_read(self.now, read);
+                self.committers[committer].handle_read(self.now, read);
             }
             Some(ClaimAction::Write { expected, bytes }) => {
                 let write = match fate {
@@ -167,7 +167,7 @@
                     }
                     Fate::Refused => RangeWrite::Refused,
                 };
-                let verdicts = self.committers[committer].note_write(self.now, write);
+                let verdicts = self.committers[committer].handle_write(self.now, write);
                 self.take(committer, verdicts);
             }
             None => (),
@@ -192,8 +192,8 @@
     fn give_up(&mut self, owner: usize, committer: usize) {
         if self.owners[owner] == OwnerState::Asking {
             self.owners[owner] = OwnerState::GivenUp;
-            let ask = ClaimAsk::Release(key_of(owner), owner_id(owner));
-            self.committers[committer].ask(ask, self.now + Duration::from_secs(60));
+            let ask = ClaimRequest::Release(key_of(owner), owner_id(owner));
+            self.committers[committer].submit(ask, self.now + Duration::from_secs(60));
         }
     }
 
@@ -279,7 +279,7 @@
     for sequence in 0..1000_u64 {
         let mut key = ClaimKey::default();
         key[..8].copy_from_slice(&sequence.to_be_bytes());
-        let ask = ClaimAsk::Take(
+        let ask = ClaimRequest::Acquire(
             key,
             ClaimOwner {
                 incarnation: 1,
@@ -287,7 +287,7 @@
             },
         );
         assert!(world.committers[0]
-            .ask(ask, Duration::from_secs(5))
+            .submit(ask, Duration::from_secs(5))
             .is_some());
     }
     settle(&mut world, 0);
--- a/packages/turnford-fleet/tests/config_order.rs
+++ b/packages/turnford-fleet/tests/config_order.rs
@@ -54,7 +54,7 @@
                 copy.apply(change);
             }
         }
-        source.note_complete(30);
+        source.advance_complete_to(30);
         let mut after = copy.complete_to();
         loop {
             let changes = source.changes_after(after, page);
@@ -90,7 +90,7 @@
 #[test]
 fn hidden_mark() {
     let change = |mark: &str| EnvelopeChange {
-        mark: mark.to_owned(),
+        write_id: mark.to_owned(),
         author: "one".to_owned(),
         action: "apply".to_owned(),
         at: 0,
@@ -101,6 +101,6 @@
         envelope = envelope.changed(Some("b".to_owned()), change(&format!("other-{number}")));
     }
     let stored = ConfigEnvelope::decode(&envelope.encode()).expect("the envelope is readable");
-    assert!(stored.has_mark("mine") && stored.is_cut());
-    assert!(!stored.changed(None, change("last")).has_mark("mine"));
+    assert!(stored.has_write("mine") && stored.is_truncated());
+    assert!(!stored.changed(None, change("last")).has_write("mine"));
 }
--- a/packages/turnford-fleet/tests/crash_spread.rs
+++ b/packages/turnford-fleet/tests/crash_spread.rs
@@ -20,13 +20,13 @@
 use rand::Rng;
 use rand::SeedableRng;
 use turnford_fleet::CrashEvent;
-use turnford_fleet::CrashNews;
 use turnford_fleet::CrashPart;
 use turnford_fleet::CrashTable;
+use turnford_fleet::CrashUpdate;
 use turnford_fleet::CrashVerdict;
 use turnford_fleet::Moment;
-use turnford_fleet::TrialEntry;
-use turnford_fleet::TrialLedger;
+use turnford_fleet::TrialAdmission;
+use turnford_fleet::TrialTable;
 use turnford_policy::RequestDigest;
 use turnford_policy::TargetId;
 
@@ -81,7 +81,7 @@
     Find(RunNumber),
     /// The placing node hears that a request ended.
     Release(usize, RunNumber),
-    Hear(usize, Vec<CrashNews>),
+    Hear(usize, Vec<CrashUpdate>),
     /// A node compares with another.
     Compare(usize),
     Restart(usize),
@@ -120,7 +120,7 @@
     steps: BinaryHeap<Reverse<(Moment, u64)>>,
     waiting: HashMap<u64, Step>,
     tables: Vec<CrashTable>,
-    ledgers: Vec<TrialLedger>,
+    ledgers: Vec<TrialTable>,
     placer: usize,
     /// Start of each target's process, 0 while it is down.
     born: Vec<u64>,
@@ -143,7 +143,7 @@
             steps: BinaryHeap::new(),
             waiting: HashMap::new(),
             tables: vec![CrashTable::default(); NODES],
-            ledgers: vec![TrialLedger::default(); NODES],
+            ledgers: vec![TrialTable::default(); NODES],
             placer: 0,
             born: vec![1; TARGETS],
             runs: HashMap::new(),
@@ -256,12 +256,12 @@
     fn place(&mut self, digest: RequestDigest, node: usize, since: Moment) {
         let placer = self.placer;
         let verdict = self.tables[placer].verdict(self.now, &digest);
-        let entry = self.ledgers[placer].enter(self.now, &digest, verdict);
+        let entry = self.ledgers[placer].admit(self.now, &digest, verdict);
         let (taken, alone) = match entry {
-            TrialEntry::Freely => (Vec::new(), None),
-            TrialEntry::OnTrial { is_alone, taken } => (taken, Some(is_alone)),
-            TrialEntry::Refused(_) => return self.refused.push((digest, self.now)),
-            TrialEntry::Held => return self.hold(digest, node, since),
+            TrialAdmission::Unrestricted => (Vec::new(), None),
+            TrialAdmission::OnTrial { is_alone, taken } => (taken, Some(is_alone)),
+            TrialAdmission::Refused(_) => return self.refused.push((digest, self.now)),
+            TrialAdmission::Held => return self.hold(digest, node, since),
         };
         let is_free = |target: &usize| {
             self.born[*target] > 0 && !taken.contains(&TargetId::from(name(*target)))
@@ -382,7 +382,7 @@
     }
 
     fn note(&mut self, node: usize, digest: RequestDigest, event: CrashEvent) {
-        let news = CrashNews {
+        let news = CrashUpdate {
             digest: digest.0,
             event,
             age_ms: 0,
@@ -393,7 +393,7 @@
     }
 
     /// Tells some other nodes; what they hear may be lost, late or doubled.
-    fn tell(&mut self, from: usize, news: &[CrashNews]) {
+    fn tell(&mut self, from: usize, news: &[CrashUpdate]) {
         for _ in 0..FANOUT {
             let to = self.rng.random_range(0..NODES);
             let copies = match self.rng.random_range(0..10) {
@@ -408,7 +408,7 @@
         }
     }
 
-    fn hear(&mut self, node: usize, news: &[CrashNews]) {
+    fn hear(&mut self, node: usize, news: &[CrashUpdate]) {
         let mut new = Vec::new();
         for news in news {
             if self.tables[node].apply(self.now, news) {
@@ -438,7 +438,7 @@
         let other = (node + 1) % NODES;
         let news = self.tables[other].snapshot(self.now);
         self.tables[node] = CrashTable::default();
-        self.ledgers[node] = TrialLedger::default();
+        self.ledgers[node] = TrialTable::default();
         for news in &news {
             self.tables[node].apply(self.now, news);
         }
--- a/packages/turnford-fleet/tests/digest_age.rs
+++ b/packages/turnford-fleet/tests/digest_age.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use turnford_fleet::mark_target;
+use turnford_fleet::hash_target;
 use turnford_fleet::DigestTable;
 use turnford_fleet::LoadDigest;
 use turnford_fleet::Moment;
 use turnford_fleet::ServiceLoad;
 
 fn digest(number: u64, incarnation: u64, count: u16) -> LoadDigest {
-    let inflight = vec![(mark_target("sprog-1"), count)];
+    let inflight = vec![(hash_target("sprog-1"), count)];
     let load = ServiceLoad {
         service: "sprog".to_owned(),
         backlog_ms: 500,
@@ -17,7 +17,7 @@
         inflight,
     };
     LoadDigest {
-        number,
+        sequence: number,
         incarnation,
         services: vec![load],
     }
@@ -27,7 +27,7 @@
     table
         .service_load("sprog")
         .1
-        .get(&mark_target("sprog-1"))
+        .get(&hash_target("sprog-1"))
         .copied()
 }
 
--- a/packages/turnford-fleet/tests/lease_copies.rs
+++ b/packages/turnford-fleet/tests/lease_copies.rs
@@ -11,8 +11,8 @@
 use rand::Rng;
 use rand::SeedableRng;
 use turnford_fleet::LeaseAction;
-use turnford_fleet::LeaseAnswer;
 use turnford_fleet::LeaseHolder;
+use turnford_fleet::LeaseOutcome;
 use turnford_fleet::LeaseRecord;
 use turnford_fleet::LeaseSettings;
 use turnford_fleet::Moment;
@@ -49,7 +49,7 @@
     ends: Moment,
     /// Whether its sender gets the answer.
     is_answered: bool,
-    answer: LeaseAnswer,
+    answer: LeaseOutcome,
     /// What the answer tells of the platform's last return.
     restored_ago: Option<Duration>,
 }
@@ -187,7 +187,7 @@
             return;
         }
         let time_of_day = 1_000_000 + now.as_millis() as u64 + node.skew;
-        node.holder.raise_token(time_of_day);
+        node.holder.raise_token_floor(time_of_day);
         let Some(action) = node.holder.step(now, node.wants, false) else {
             return;
         };
@@ -205,7 +205,7 @@
             lands: now + lands,
             ends: now + ends,
             is_answered: lands <= ends && self.rng.random_bool(0.9),
-            answer: LeaseAnswer::Failed,
+            answer: LeaseOutcome::Failed,
             restored_ago: None,
         });
     }
@@ -227,14 +227,14 @@
                 continue;
             }
             call.ends = Moment::MAX;
-            let answer = std::mem::replace(&mut call.answer, LeaseAnswer::Failed);
+            let answer = std::mem::replace(&mut call.answer, LeaseOutcome::Failed);
             let answer = if call.is_answered {
                 answer
             } else {
-                LeaseAnswer::Failed
+                LeaseOutcome::Failed
             };
-            node.holder.note_restored(call.restored_ago.take());
-            node.holder.note(now, answer);
+            node.holder.set_restored_ago(call.restored_ago.take());
+            node.holder.handle_outcome(now, answer);
         }
         calls.retain(|call| call.lands < Moment::MAX || call.ends < Moment::MAX);
         self.calls = calls;
@@ -249,7 +249,7 @@
         let Some(token) = self.nodes[number].holder.token(now) else {
             return Ok(());
         };
-        let longest = LeaseSettings::default().longest_use;
+        let longest = LeaseSettings::default().max_action_time;
         for (other, node) in self.nodes.iter().enumerate() {
             if other != number && node.used.is_some_and(|used| used + longest > now) {
                 return Err(format!(
@@ -269,19 +269,19 @@
 }
 
 /// Performs a call at the platform.
-fn perform(stored: &mut StoredLease, action: &LeaseAction) -> LeaseAnswer {
+fn perform(stored: &mut StoredLease, action: &LeaseAction) -> LeaseOutcome {
     let (revision, record) = stored;
     match action {
-        LeaseAction::Read => LeaseAnswer::Found(record.clone()),
+        LeaseAction::Read => LeaseOutcome::Found(record.clone()),
         LeaseAction::Write { expected, .. }
             if record.as_ref().map_or(0, |(version, _)| *version) != *expected =>
         {
-            LeaseAnswer::Conflict
+            LeaseOutcome::Conflict
         }
         LeaseAction::Write { record: new, .. } => {
             *revision += 1;
             *record = Some((*revision, new.clone()));
-            LeaseAnswer::Accepted(*revision)
+            LeaseOutcome::Accepted(*revision)
         }
     }
 }
@@ -343,8 +343,8 @@
         self.now += TICK;
         if let Some(action) = self.holder.step(self.now, true, false) {
             let answer = perform(&mut self.stored, &action);
-            self.holder.note_restored(self.restored_ago);
-            self.holder.note(self.now, answer);
+            self.holder.set_restored_ago(self.restored_ago);
+            self.holder.handle_outcome(self.now, answer);
         }
     }
 
@@ -370,7 +370,7 @@
         loop {
             self.now += TICK;
             if let Some(action) = self.holder.step(self.now, true, false) {
-                self.holder.note(self.now, LeaseAnswer::Failed);
+                self.holder.handle_outcome(self.now, LeaseOutcome::Failed);
                 return action;
             }
         }
@@ -380,7 +380,7 @@
 fn record_of(holder: &str, mark: u64) -> LeaseRecord {
     LeaseRecord {
         holder: holder.to_owned(),
-        mark,
+        write_id: mark,
         clean: false,
         token: 1,
         pending: false,
@@ -392,7 +392,7 @@
 fn free_copy() {
     let mut world = CalmWorld::new();
     let settings = LeaseSettings::default();
-    let last_act = settings.span - settings.margin + settings.longest_use;
+    let last_act = settings.duration - settings.margin + settings.max_action_time;
     assert!(world.await_use() >= last_act);
 }
 
@@ -459,10 +459,10 @@
             break action;
         }
     };
-    world.now += LeaseSettings::default().span;
+    world.now += LeaseSettings::default().duration;
     let answer = perform(&mut world.stored, &action);
-    assert!(matches!(answer, LeaseAnswer::Accepted(_)));
-    world.holder.note(world.now, answer);
+    assert!(matches!(answer, LeaseOutcome::Accepted(_)));
+    world.holder.handle_outcome(world.now, answer);
     assert_eq!(world.holder.token(world.now), None);
     assert!(world.await_use() >= Duration::from_secs(4));
 }
--- a/packages/turnford-fleet/tests/lease_outage.rs
+++ b/packages/turnford-fleet/tests/lease_outage.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use turnford_fleet::LeaseAction;
-use turnford_fleet::LeaseAnswer;
 use turnford_fleet::LeaseHolder;
+use turnford_fleet::LeaseOutcome;
 use turnford_fleet::LeaseRecord;
 use turnford_fleet::LeaseSettings;
 use turnford_fleet::Version;
@@ -24,12 +24,14 @@
         let action = holder.step(now, true, true);
         let is_away = outage.contains(&(tick * 10));
         match action {
-            Some(_) if is_away => holder.note(now, LeaseAnswer::Failed),
-            Some(LeaseAction::Read) => holder.note(now, LeaseAnswer::Found(stored.clone())),
+            Some(_) if is_away => holder.handle_outcome(now, LeaseOutcome::Failed),
+            Some(LeaseAction::Read) => {
+                holder.handle_outcome(now, LeaseOutcome::Found(stored.clone()))
+            }
             Some(LeaseAction::Write { record, .. }) => {
                 version += 1;
                 stored = Some((version, record));
-                holder.note(now, LeaseAnswer::Accepted(version));
+                holder.handle_outcome(now, LeaseOutcome::Accepted(version));
             }
             None => {}
         }
--- a/packages/turnford-fleet/tests/lease_pause.rs
+++ b/packages/turnford-fleet/tests/lease_pause.rs
@@ -6,8 +6,8 @@
 
 use proptest::prelude::*;
 use turnford_fleet::LeaseAction;
-use turnford_fleet::LeaseAnswer;
 use turnford_fleet::LeaseHolder;
+use turnford_fleet::LeaseOutcome;
 use turnford_fleet::LeaseRecord;
 use turnford_fleet::LeaseSettings;
 use turnford_fleet::Moment;
@@ -92,9 +92,9 @@
                     let answer = if answered {
                         answer
                     } else {
-                        LeaseAnswer::Failed
+                        LeaseOutcome::Failed
                     };
-                    self.holders[holder].note(self.now, answer);
+                    self.holders[holder].handle_outcome(self.now, answer);
                 }
             }
             Event::LandLate => {
@@ -119,32 +119,32 @@
         }
     }
 
-    fn perform(&mut self, action: LeaseAction, effect: bool, late: bool) -> LeaseAnswer {
+    fn perform(&mut self, action: LeaseAction, effect: bool, late: bool) -> LeaseOutcome {
         match action {
-            LeaseAction::Read => LeaseAnswer::Found(self.record.clone()),
+            LeaseAction::Read => LeaseOutcome::Found(self.record.clone()),
             LeaseAction::Write { expected, record } if effect => self.write(expected, record),
             LeaseAction::Write { expected, record } => {
                 if late {
                     self.late.push((expected, record));
                 }
-                LeaseAnswer::Failed
+                LeaseOutcome::Failed
             }
         }
     }
 
-    fn write(&mut self, expected: Version, record: LeaseRecord) -> LeaseAnswer {
+    fn write(&mut self, expected: Version, record: LeaseRecord) -> LeaseOutcome {
         let current = self.record.as_ref().map_or(0, |(version, _)| *version);
         if current != expected {
-            return LeaseAnswer::Conflict;
+            return LeaseOutcome::Conflict;
         }
         self.revision += 1;
         self.record = Some((self.revision, record));
-        LeaseAnswer::Accepted(self.revision)
+        LeaseOutcome::Accepted(self.revision)
     }
 
     /// Checks that acts of two holders can't overlap, and that tokens rise from holder to holder.
     fn check(&mut self) -> Result<(), TestCaseError> {
-        let longest = LeaseSettings::default().longest_use;
+        let longest = LeaseSettings::default().max_action_time;
         for number in 0..HOLDERS {
             let Some(token) = self.holders[number].token(self.now) else {
                 continue;
--- a/packages/turnford-fleet/tests/limit_division.rs
+++ b/packages/turnford-fleet/tests/limit_division.rs
@@ -16,14 +16,14 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand::SeedableRng;
-use turnford_fleet::DividerId;
-use turnford_fleet::DivisionRole;
-use turnford_fleet::HolderSight;
-use turnford_fleet::LimitDivision;
+use turnford_fleet::AllocationRole;
+use turnford_fleet::AllocatorElection;
+use turnford_fleet::AllocatorId;
+use turnford_fleet::HolderStatus;
 use turnford_fleet::LimitEntry;
 use turnford_fleet::LimitTerm;
-use turnford_fleet::PermitUse;
-use turnford_fleet::PERMIT_SPAN;
+use turnford_fleet::PermitPurpose;
+use turnford_fleet::PERMIT_LIFETIME;
 use turnford_policy::LimitObservation;
 use turnford_policy::LimitSignal;
 use turnford_policy::LimitState;
@@ -103,7 +103,7 @@
     is_stopping: bool,
     frozen_until: Moment,
     cut_until: Moment,
-    division: LimitDivision,
+    division: AllocatorElection,
     board: LimitTable,
     down: BTreeMap<usize, Moment>,
     heard: BTreeMap<usize, Moment>,
@@ -116,15 +116,15 @@
     is_denied_until: Moment,
 }
 
-fn divider_id(number: usize, process: u64) -> DividerId {
-    DividerId {
+fn divider_id(number: usize, process: u64) -> AllocatorId {
+    AllocatorId {
         name: format!("node-{number}"),
         process,
         work: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
     }
 }
 
-fn number_of(id: &DividerId) -> usize {
+fn number_of(id: &AllocatorId) -> usize {
     usize::from(id.work.port() - 7000)
 }
 
@@ -167,7 +167,7 @@
                 is_stopping: false,
                 frozen_until: Moment::ZERO,
                 cut_until: Moment::ZERO,
-                division: LimitDivision::new(id),
+                division: AllocatorElection::new(id),
                 board: LimitTable::default(),
                 down: BTreeMap::new(),
                 heard: BTreeMap::new(),
@@ -340,13 +340,13 @@
         let now = self.now;
         if !matches!(
             self.enter(node, term.as_ref()),
-            DivisionRole::Divides { .. }
+            AllocationRole::Allocates { .. }
         ) {
             return;
         }
         let target: TargetId = TARGET.into();
-        if let Some(divider) = self.nodes[node].division.divider() {
-            divider.note_word(now, &target, 0, heard);
+        if let Some(divider) = self.nodes[node].division.allocator() {
+            divider.observe(now, &target, 0, heard);
         }
         self.publish(node, false);
     }
@@ -355,10 +355,10 @@
     fn publish(&mut self, node: usize, is_new: bool) {
         let now = self.now;
         let state = &mut self.nodes[node];
-        let Some(divider) = state.division.divider() else {
+        let Some(divider) = state.division.allocator() else {
             return;
         };
-        let news = divider.take_news(now);
+        let news = divider.take_updates(now);
         let entries = divider.entries();
         if is_new || !news.is_empty() {
             self.take_entries(node, &entries);
@@ -394,32 +394,32 @@
         is_new
     }
 
-    fn enter(&mut self, node: usize, asked: Option<&LimitTerm>) -> DivisionRole {
+    fn enter(&mut self, node: usize, asked: Option<&LimitTerm>) -> AllocationRole {
         let now = self.now;
         let others = self.nodes.len();
         let state = &mut self.nodes[node];
         let known = state.board.limited();
         let (down, heard) = (&state.down, &state.heard);
-        let sight = |holder: &DividerId| {
+        let sight = |holder: &AllocatorId| {
             let holder = number_of(holder);
             if down.get(&holder).is_some_and(|until| *until > now) {
-                return HolderSight::Lost;
+                return HolderStatus::Unreachable;
             }
             match heard.get(&holder) {
-                Some(at) if now - *at < HEARD_SPAN => HolderSight::Heard,
-                _ => HolderSight::Unknown,
+                Some(at) if now - *at < HEARD_SPAN => HolderStatus::Reachable,
+                _ => HolderStatus::Unknown,
             }
         };
-        let role = state.division.enter(now, asked, sight, known);
+        let role = state.division.resolve(now, asked, sight, known);
         let down = state.down.values().filter(|until| **until > now).count();
-        if let Some(divider) = state.division.divider() {
-            divider.note_reach(others - down >= down);
+        if let Some(divider) = state.division.allocator() {
+            divider.set_reaches_half(others - down >= down);
         }
-        if role == (DivisionRole::Divides { is_new: true }) {
+        if role == (AllocationRole::Allocates { is_new: true }) {
             self.nodes[node].board.reset_sequences();
             self.publish(node, true);
         }
-        if let DivisionRole::Doubted(term) = &role {
+        if let AllocationRole::Unconfirmed(term) = &role {
             let holder = number_of(&term.holder);
             let process = self.nodes[node].process;
             self.send(node, holder, Message::Alive);
@@ -455,7 +455,7 @@
         let term = self.nodes[node].division.term().cloned();
         match self.doer(node) {
             None => {
-                if let DivisionRole::Divides { .. } = self.enter(node, term.as_ref()) {
+                if let AllocationRole::Allocates { .. } = self.enter(node, term.as_ref()) {
                     let known = self.nodes[node].board.state(TARGET);
                     let answer = self.grant(node, known);
                     self.take_answer(node, self.now, answer, tries);
@@ -480,10 +480,10 @@
 
     fn grant(&mut self, node: usize, known: LimitState) -> Answer {
         let now = self.now;
-        let divider = self.nodes[node].division.divider();
+        let divider = self.nodes[node].division.allocator();
         let taken = divider.map(|divider| {
             divider.adopt(now, &TARGET.into(), 0, known);
-            divider.take(now, TARGET, PermitUse::Work)
+            divider.take(now, TARGET, PermitPurpose::Work)
         });
         match taken {
             Some(Ok(())) => Answer::Granted,
@@ -498,7 +498,7 @@
             Answer::Granted => {
                 self.nodes[node]
                     .board
-                    .add_permit(TARGET, asked_at + PERMIT_SPAN);
+                    .add_permit(TARGET, asked_at + PERMIT_LIFETIME);
                 if self.nodes[node].board.try_acquire(now, TARGET) {
                     self.send_call(node);
                 }
@@ -546,9 +546,9 @@
                     Answer::Refused
                 } else {
                     match self.enter(to, term.as_ref()) {
-                        DivisionRole::Divides { .. } => self.grant(to, known),
-                        DivisionRole::Elsewhere(term) => Answer::Elsewhere(term),
-                        DivisionRole::Doubted(_) => Answer::Wait(DOUBT_PAUSE),
+                        AllocationRole::Allocates { .. } => self.grant(to, known),
+                        AllocationRole::Remote(term) => Answer::Elsewhere(term),
+                        AllocationRole::Unconfirmed(_) => Answer::Wait(DOUBT_PAUSE),
                     }
                 };
                 self.send(to, from, Message::Answer(number, answer));
@@ -595,7 +595,7 @@
 
     fn note_term(&mut self, node: usize, term: &LimitTerm) -> bool {
         let state = &mut self.nodes[node];
-        let is_later = state.division.note_term(term);
+        let is_later = state.division.observe_term(term);
         if is_later {
             state.board.reset_sequences();
             state.down.remove(&number_of(&term.holder));
@@ -618,7 +618,7 @@
         let process = self.nodes[node].process;
         self.plan(SYNC_PAUSE, Event::Tick(node, process));
         self.publish(node, false);
-        let divides = self.nodes[node].division.divider().is_some();
+        let divides = self.nodes[node].division.allocator().is_some();
         let term = self.nodes[node].division.term().cloned();
         for to in self.others(node, if divides { 3 } else { 1 }) {
             self.send(node, to, Message::Sync(term.clone()));
@@ -631,7 +631,7 @@
         self.plan(pause, Event::Fault);
         let count = self.nodes.len();
         let dividers: Vec<usize> = (0..count)
-            .filter(|node| self.nodes[*node].division.divider().is_some())
+            .filter(|node| self.nodes[*node].division.allocator().is_some())
             .collect();
         let mut node = self.rng.random_range(0..count);
         if !dividers.is_empty() && self.rng.random_bool(0.7) {
@@ -676,7 +676,7 @@
         state.process += 1;
         state.is_up = true;
         state.is_stopping = false;
-        state.division = LimitDivision::new(divider_id(node, state.process));
+        state.division = AllocatorElection::new(divider_id(node, state.process));
         state.board = LimitTable::default();
         state.down.clear();
         state.heard.clear();
@@ -743,7 +743,7 @@
         let span = (END - from).as_secs_f64();
         let calls = world.calls_between(from, END) as f64;
         // A burst, and what was granted before and used within.
-        let most = world.rate * (span + PERMIT_SPAN.as_secs_f64()) + 2.0;
+        let most = world.rate * (span + PERMIT_LIFETIME.as_secs_f64()) + 2.0;
         let least = 0.8 * world.rate * span;
         prop_assert!(calls <= most, "{calls} of {most} at {} a second", world.rate);
         prop_assert!(calls >= least.floor(), "{calls} of {least} at {} a second", world.rate);
--- a/packages/turnford-fleet/tests/limit_words.rs
+++ b/packages/turnford-fleet/tests/limit_words.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use turnford_fleet::LimitDivider;
-use turnford_fleet::PermitUse;
+use turnford_fleet::LimitAllocator;
+use turnford_fleet::PermitPurpose;
 use turnford_policy::LimitObservation;
 use turnford_policy::LimitSignal;
 use turnford_policy::LimitState;
@@ -28,17 +28,17 @@
     }
 }
 
-fn divider() -> LimitDivider {
-    LimitDivider::new(Duration::ZERO)
+fn divider() -> LimitAllocator {
+    LimitAllocator::new(Duration::ZERO)
 }
 
 /// Takes a word as soon as it was heard.
-fn note(divider: &mut LimitDivider, word: LimitObservation) {
-    divider.note_word(word.received_at, &target(), 0, word);
+fn note(divider: &mut LimitAllocator, word: LimitObservation) {
+    divider.observe(word.received_at, &target(), 0, word);
 }
 
-fn state(divider: &mut LimitDivider, now: Duration) -> LimitState {
-    divider.take_news(now);
+fn state(divider: &mut LimitAllocator, now: Duration) -> LimitState {
+    divider.take_updates(now);
     let entries = divider.entries();
     let entry = entries.iter().find(|entry| entry.target == "e1");
     entry.map_or(LimitState::Free, |entry| entry.state)
@@ -78,7 +78,7 @@
     note(&mut divider, heard(Some(1.0), BEGIN, 50 * MS));
     note(&mut divider, heard(None, BEGIN + SECOND, 50 * MS));
     let old = heard(Some(1.0), BEGIN + 100 * MS, 50 * MS);
-    divider.note_word(BEGIN + 2 * SECOND, &target(), 0, old);
+    divider.observe(BEGIN + 2 * SECOND, &target(), 0, old);
     assert_eq!(state(&mut divider, BEGIN + 2 * SECOND), LimitState::Easing);
 }
 
@@ -108,7 +108,7 @@
         let from = end + SECOND * part;
         let taken = (0..1000).filter(|step| {
             let now = from + MS * *step;
-            divider.take(now, "e1", PermitUse::Work).is_ok()
+            divider.take(now, "e1", PermitPurpose::Work).is_ok()
         });
         counts.push(taken.count());
     }
@@ -127,8 +127,8 @@
     let (mut work, mut upkeep) = (0, 0);
     for step in 0..10_000_u32 {
         let now = BEGIN + 50 * MS + MS * step;
-        upkeep += u32::from(divider.take(now, "e1", PermitUse::Upkeep).is_ok());
-        work += u32::from(divider.take(now, "e1", PermitUse::Work).is_ok());
+        upkeep += u32::from(divider.take(now, "e1", PermitPurpose::Maintenance).is_ok());
+        work += u32::from(divider.take(now, "e1", PermitPurpose::Work).is_ok());
     }
     assert!(upkeep <= 21 && work >= 58, "{upkeep} and {work}");
     assert!(work + upkeep <= 82, "{upkeep} and {work}");
@@ -151,28 +151,31 @@
 fn other_process() {
     // A limit ends with the process that named it.
     let mut divider = divider();
-    divider.note_word(BEGIN, &target(), 1, heard(Some(0.0), BEGIN, Duration::ZERO));
-    divider.keep_only(|_, born| born == 2);
-    assert_eq!(divider.take(BEGIN + SECOND, "e1", PermitUse::Work), Ok(()));
+    divider.observe(BEGIN, &target(), 1, heard(Some(0.0), BEGIN, Duration::ZERO));
+    divider.retain_listed(|_, born| born == 2);
+    assert_eq!(
+        divider.take(BEGIN + SECOND, "e1", PermitPurpose::Work),
+        Ok(())
+    );
 }
 
 #[test]
 fn takeover_part() {
     // One that has just begun to divide gives out half, and one that reaches few as well.
-    let count = |divider: &mut LimitDivider, from: Duration| {
+    let count = |divider: &mut LimitAllocator, from: Duration| {
         let taken = (0..1800).filter(|step| {
             let now = from + MS * *step;
-            divider.take(now, "e1", PermitUse::Work).is_ok()
+            divider.take(now, "e1", PermitPurpose::Work).is_ok()
         });
         taken.count()
     };
-    let mut new = LimitDivider::new(BEGIN);
+    let mut new = LimitAllocator::new(BEGIN);
     new.adopt(BEGIN, &target(), 0, LimitState::Limited(20.0));
     assert!((16..=18).contains(&count(&mut new, BEGIN)));
     let mut alone = divider();
     alone.adopt(BEGIN, &target(), 0, LimitState::Limited(20.0));
-    alone.note_reach(false);
+    alone.set_reaches_half(false);
     assert!((16..=18).contains(&count(&mut alone, BEGIN)));
-    alone.note_reach(true);
+    alone.set_reaches_half(true);
     assert!((34..=38).contains(&count(&mut alone, BEGIN + 2 * SECOND)));
 }
--- a/packages/turnford-fleet/tests/member_heal.rs
+++ b/packages/turnford-fleet/tests/member_heal.rs
@@ -99,7 +99,7 @@
             reached |= self.hears(number, helper) && self.ping(helper, target);
         }
         if !reached {
-            self.tables[number].note_silent(now, &plan.name);
+            self.tables[number].record_probe_failure(now, &plan.name);
         }
     }
 
--- a/packages/turnford-fleet/tests/order_fence.rs
+++ b/packages/turnford-fleet/tests/order_fence.rs
@@ -9,16 +9,16 @@
 use proptest::prelude::*;
 use turnford_fleet::plan_orders;
 use turnford_fleet::LeaseAction;
-use turnford_fleet::LeaseAnswer;
 use turnford_fleet::LeaseHolder;
+use turnford_fleet::LeaseOutcome;
 use turnford_fleet::LeaseRecord;
 use turnford_fleet::LeaseSettings;
 use turnford_fleet::ModelTarget;
 use turnford_fleet::Moment;
 use turnford_fleet::OrderAction;
-use turnford_fleet::OrderAnswer;
-use turnford_fleet::OrderBook;
 use turnford_fleet::OrderKind;
+use turnford_fleet::OrderOutcome;
+use turnford_fleet::OrderQueue;
 use turnford_fleet::OrderRecord;
 use turnford_fleet::TargetOrder;
 use turnford_fleet::Version;
@@ -63,7 +63,7 @@
     lease: Option<(Version, LeaseRecord)>,
     record: Option<(Version, OrderRecord)>,
     holders: Vec<LeaseHolder>,
-    books: Vec<OrderBook>,
+    books: Vec<OrderQueue>,
     acts: Vec<Option<OrderAction>>,
     flights: Vec<Flight>,
     /// Last token that took effect at each target; none of them checks.
@@ -79,7 +79,7 @@
             lease: None,
             record: None,
             holders: (0..GIVERS).map(|giver| holder(giver, 0)).collect(),
-            books: (0..GIVERS).map(|_| OrderBook::new()).collect(),
+            books: (0..GIVERS).map(|_| OrderQueue::new()).collect(),
             acts: vec![None; GIVERS],
             flights: Vec::new(),
             seen: [0; TARGETS],
@@ -106,7 +106,7 @@
             Event::Restart { giver } => {
                 self.restarts += 1;
                 self.holders[giver] = holder(giver, self.restarts);
-                self.books[giver] = OrderBook::new();
+                self.books[giver] = OrderQueue::new();
                 self.acts[giver] = None;
             }
             Event::Wait { millis } => self.now += Duration::from_millis(millis),
@@ -119,19 +119,19 @@
             return;
         };
         let answer = match action {
-            _ if !works => LeaseAnswer::Failed,
-            LeaseAction::Read => LeaseAnswer::Found(self.lease.clone()),
+            _ if !works => LeaseOutcome::Failed,
+            LeaseAction::Read => LeaseOutcome::Found(self.lease.clone()),
             LeaseAction::Write { expected, record } => {
                 if self.lease.as_ref().map_or(0, |(version, _)| *version) == expected {
                     self.revision += 1;
                     self.lease = Some((self.revision, record));
-                    LeaseAnswer::Accepted(self.revision)
+                    LeaseOutcome::Accepted(self.revision)
                 } else {
-                    LeaseAnswer::Conflict
+                    LeaseOutcome::Conflict
                 }
             }
         };
-        self.holders[giver].note(self.now, answer);
+        self.holders[giver].handle_outcome(self.now, answer);
     }
 
     fn end_act(&mut self, giver: usize, effect: bool, answered: bool) {
@@ -139,8 +139,8 @@
             return;
         };
         let answer = match act {
-            OrderAction::Read if answered => OrderAnswer::Found(self.record.clone()),
-            OrderAction::Read => OrderAnswer::Failed,
+            OrderAction::Read if answered => OrderOutcome::Found(self.record.clone()),
+            OrderAction::Read => OrderOutcome::Failed,
             OrderAction::Write { expected, record } => {
                 let fits = self.record.as_ref().map_or(0, |(version, _)| *version) == expected;
                 if fits && effect {
@@ -148,16 +148,16 @@
                     self.record = Some((self.revision, record));
                 }
                 match (fits, effect, answered) {
-                    (true, true, true) => OrderAnswer::Accepted(self.revision),
-                    (false, _, true) | (_, _, false) => OrderAnswer::Reread,
-                    (true, false, true) => OrderAnswer::Failed,
+                    (true, true, true) => OrderOutcome::Accepted(self.revision),
+                    (false, _, true) | (_, _, false) => OrderOutcome::Reread,
+                    (true, false, true) => OrderOutcome::Failed,
                 }
             }
             // The giver asks its lease right before the call.
-            OrderAction::Give { order, token } => match self.holders[giver].token(self.now) {
+            OrderAction::Send { order, token } => match self.holders[giver].token(self.now) {
                 Some(held) if held >= token => {
                     if effect {
-                        let longest = LeaseSettings::default().longest_use;
+                        let longest = LeaseSettings::default().max_action_time;
                         let target = order.target[2..].parse().unwrap_or(0);
                         self.flights.push(Flight {
                             token: held,
@@ -166,15 +166,15 @@
                         });
                     }
                     if answered {
-                        OrderAnswer::Done
+                        OrderOutcome::Done
                     } else {
-                        OrderAnswer::NotDone
+                        OrderOutcome::NotDone
                     }
                 }
-                _ => OrderAnswer::Later(Duration::from_millis(200)),
+                _ => OrderOutcome::Deferred(Duration::from_millis(200)),
             },
         };
-        self.books[giver].note(self.now, answer);
+        self.books[giver].handle_outcome(self.now, answer);
     }
 
     /// Lets orders land as late as they may; an older token after a newer one is a fault.
@@ -238,7 +238,7 @@
 }
 
 /// Steps a book whose acts all work, and returns the orders that it gave.
-fn drive(book: &mut OrderBook, record: &mut Option<(Version, OrderRecord)>, give: bool) -> usize {
+fn drive(book: &mut OrderQueue, record: &mut Option<(Version, OrderRecord)>, give: bool) -> usize {
     let mut given = 0;
     for round in 0..200 {
         let now = Duration::from_secs(round * 2);
@@ -248,23 +248,23 @@
             Vec::new()
         };
         let answer = match book.step(now, Some(9), &wanted, OPEN_LIMIT) {
-            Some(OrderAction::Read) => OrderAnswer::Found(record.clone()),
+            Some(OrderAction::Read) => OrderOutcome::Found(record.clone()),
             Some(OrderAction::Write { record: new, .. }) => {
                 let version = record.as_ref().map_or(0, |(version, _)| *version) + 1;
                 *record = Some((version, new));
-                OrderAnswer::Accepted(version)
+                OrderOutcome::Accepted(version)
             }
-            Some(OrderAction::Give { .. }) => {
+            Some(OrderAction::Send { .. }) => {
                 given += 1;
                 if give {
-                    OrderAnswer::Done
+                    OrderOutcome::Done
                 } else {
-                    OrderAnswer::NotDone
+                    OrderOutcome::NotDone
                 }
             }
             None => continue,
         };
-        book.note(now, answer);
+        book.handle_outcome(now, answer);
     }
     given
 }
@@ -278,7 +278,7 @@
             intents: vec![order(1), order(2)],
         },
     ));
-    let given = drive(&mut OrderBook::new(), &mut record, true);
+    let given = drive(&mut OrderQueue::new(), &mut record, true);
     assert_eq!(given, 2);
     assert_eq!(record.map(|(_, record)| record.intents.len()), Some(0));
 }
@@ -288,7 +288,7 @@
     // Orders that no target takes stop the giver; it does not go on over the whole pool.
     let intents = (0..2).map(order).collect();
     let mut record = Some((1, OrderRecord { intents }));
-    let mut book = OrderBook::new();
+    let mut book = OrderQueue::new();
     for target in 0..20 {
         drive(&mut book, &mut record, false);
         if book.is_halted() {
@@ -316,7 +316,7 @@
         name: name.to_owned(),
         slots: 10,
         models,
-        room: 2,
+        model_capacity: 2,
     }
 }
 
--- a/packages/turnford-fleet/tests/share_sum.rs
+++ b/packages/turnford-fleet/tests/share_sum.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use turnford_fleet::HeardNodes;
 use turnford_fleet::LenderStamp;
 use turnford_fleet::Moment;
+use turnford_fleet::NodeContacts;
 use turnford_fleet::ShareDemand;
 use turnford_fleet::ShareGrant;
 use turnford_fleet::ShareHolder;
@@ -71,7 +71,7 @@
     now: Moment,
     token: u64,
     lender: ShareLender,
-    heard: HeardNodes,
+    heard: NodeContacts,
     lends_from: Moment,
     holders: Vec<ShareHolder>,
     contacts: Vec<Moment>,
@@ -87,7 +87,7 @@
             now: Moment::ZERO,
             token: 1,
             lender: ShareLender::new(Moment::ZERO, 1, LIMIT, true),
-            heard: HeardNodes::new(Moment::ZERO, 1, size),
+            heard: NodeContacts::new(Moment::ZERO, 1, size),
             lends_from: Moment::ZERO,
             holders: vec![ShareHolder::new(LIMIT, size); NODES],
             contacts: vec![Moment::ZERO; NODES],
@@ -119,7 +119,7 @@
                 self.token += 1;
                 let began = self.now + TAKEOVER;
                 self.lender = ShareLender::new(began, self.token, LIMIT, false);
-                self.heard = HeardNodes::new(began, self.token, NODES as u32);
+                self.heard = NodeContacts::new(began, self.token, NODES as u32);
                 self.lends_from = began;
                 // Asks that the old lender has not seen reach nobody.
                 for exchange in &mut self.exchanges {
@@ -157,7 +157,7 @@
             return;
         };
         let name = format!("node-{node}");
-        let stamp = self.heard.note(self.now, &name, stamp);
+        let stamp = self.heard.record_contact(self.now, &name, stamp);
         let listed = demand.is_some();
         let grant =
             demand.and_then(|demand| self.lender.lend(self.now, &name, &demand, &self.heard));
@@ -180,7 +180,7 @@
         self.stamps[node] = reply.stamp;
         match reply.grant {
             Some(grant) => self.holders[node].apply(reply.asked, &grant),
-            None if !reply.listed => self.holders[node].forget_ended(reply.asked),
+            None if !reply.listed => self.holders[node].clear_expired(reply.asked),
             None => (),
         }
     }
--- a/packages/turnford-fleet/tests/trial_news.rs
+++ b/packages/turnford-fleet/tests/trial_news.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use turnford_fleet::CrashEvent;
-use turnford_fleet::CrashNews;
 use turnford_fleet::CrashPart;
 use turnford_fleet::CrashTable;
+use turnford_fleet::CrashUpdate;
 use turnford_fleet::Moment;
-use turnford_fleet::TrialEntry;
-use turnford_fleet::TrialLedger;
+use turnford_fleet::TrialAdmission;
+use turnford_fleet::TrialTable;
 use turnford_policy::RequestDigest;
 
 const DIGEST: RequestDigest = RequestDigest([1; 16]);
@@ -22,12 +22,12 @@
 #[derive(Default)]
 struct Placer {
     table: CrashTable,
-    ledger: TrialLedger,
+    ledger: TrialTable,
 }
 
 impl Placer {
     fn hear(&mut self, now: Moment, event: CrashEvent) {
-        let news = CrashNews {
+        let news = CrashUpdate {
             digest: DIGEST.0,
             event,
             age_ms: 0,
@@ -45,9 +45,9 @@
         self.hear(now, event);
     }
 
-    fn enter(&mut self, now: Moment) -> TrialEntry {
+    fn enter(&mut self, now: Moment) -> TrialAdmission {
         let verdict = self.table.verdict(now, &DIGEST);
-        self.ledger.enter(now, &DIGEST, verdict)
+        self.ledger.admit(now, &DIGEST, verdict)
     }
 
     /// Lets a copy run on trial, and end without news of how it ended.
@@ -55,7 +55,10 @@
         self.crash(BEGIN, "one", CrashPart::Shared);
         self.crash(BEGIN, "two", CrashPart::Shared);
         let entry = self.enter(BEGIN);
-        assert!(matches!(entry, TrialEntry::OnTrial { is_alone: true, .. }));
+        assert!(matches!(
+            entry,
+            TrialAdmission::OnTrial { is_alone: true, .. }
+        ));
         let ends_by = BEGIN + 10_000 * MS;
         self.ledger
             .start(1, DIGEST, Arc::from("three"), true, ends_by);
@@ -68,14 +71,14 @@
 fn unknown_end() {
     let mut placer = Placer::default();
     placer.run_trial();
-    assert_eq!(placer.enter(BEGIN + MS), TrialEntry::Held);
-    assert_eq!(placer.enter(BEGIN + 500 * MS), TrialEntry::Held);
+    assert_eq!(placer.enter(BEGIN + MS), TrialAdmission::Held);
+    assert_eq!(placer.enter(BEGIN + 500 * MS), TrialAdmission::Held);
     // Crashes that other copies caused before tell nothing of this one.
     placer.crash(BEGIN + 500 * MS, "four", CrashPart::Shared);
-    assert_eq!(placer.enter(BEGIN + 500 * MS), TrialEntry::Held);
+    assert_eq!(placer.enter(BEGIN + 500 * MS), TrialAdmission::Held);
     placer.crash(BEGIN + 600 * MS, "three", CrashPart::BegunTrial);
     let entry = placer.enter(BEGIN + 600 * MS);
-    assert!(matches!(entry, TrialEntry::OnTrial { .. }));
+    assert!(matches!(entry, TrialAdmission::OnTrial { .. }));
 }
 
 /// Guards against a cleared request that waits for news it no longer needs.
@@ -84,7 +87,7 @@
     let mut placer = Placer::default();
     placer.run_trial();
     placer.hear(BEGIN + 2 * MS, CrashEvent::EndedWell);
-    assert_eq!(placer.enter(BEGIN + 2 * MS), TrialEntry::Freely);
+    assert_eq!(placer.enter(BEGIN + 2 * MS), TrialAdmission::Unrestricted);
 }
 
 /// Guards against a suspect that never runs again where no news comes.
@@ -92,7 +95,7 @@
 fn lost_news() {
     let mut placer = Placer::default();
     placer.run_trial();
-    assert_eq!(placer.enter(BEGIN + MS), TrialEntry::Held);
+    assert_eq!(placer.enter(BEGIN + MS), TrialAdmission::Held);
     let entry = placer.enter(BEGIN + 2_000 * MS);
-    assert!(matches!(entry, TrialEntry::OnTrial { .. }));
+    assert!(matches!(entry, TrialAdmission::OnTrial { .. }));
 }
--- a/packages/turnford-node/examples/capacity.rs
+++ b/packages/turnford-node/examples/capacity.rs
@@ -15,22 +15,22 @@
 
 use turnford_config::ConfigObject;
 use turnford_config::ObjectKind;
-use turnford_fleet::mark_target;
+use turnford_fleet::hash_target;
 use turnford_fleet::ClaimAction;
-use turnford_fleet::ClaimAsk;
+use turnford_fleet::ClaimCommitter;
 use turnford_fleet::ClaimKey;
 use turnford_fleet::ClaimOwner;
-use turnford_fleet::ClaimRange;
+use turnford_fleet::ClaimRequest;
 use turnford_fleet::ConfigChange;
 use turnford_fleet::ConfigView;
 use turnford_fleet::DigestTable;
-use turnford_fleet::HeardNodes;
 use turnford_fleet::LenderStamp;
 use turnford_fleet::LoadDigest;
 use turnford_fleet::MemberState;
 use turnford_fleet::MemberTable;
 use turnford_fleet::MemberUpdate;
 use turnford_fleet::Moment;
+use turnford_fleet::NodeContacts;
 use turnford_fleet::RangeRead;
 use turnford_fleet::RangeWrite;
 use turnford_fleet::Rumor;
@@ -143,14 +143,14 @@
             let gossip = table.take_gossip("");
             let ping = PeerRequest::Ping {
                 gossip,
-                digest: view.mark(),
+                digest: view.digest(),
                 members: table.checksum(),
             };
             let frame = encode_request(&ping).unwrap_or_default();
             let back = table.take_gossip("");
             let pong = PeerReply::Pong {
                 gossip: back,
-                digest: view.mark(),
+                digest: view.digest(),
                 members: table.checksum(),
             };
             let answer = encode_reply(&pong).unwrap_or_default();
@@ -207,7 +207,7 @@
     for count in [100, 300, 930] {
         let (view, heap) = weigh(|| config_view(count));
         let mark = time_each(40_000, |_| {
-            std::hint::black_box(view.mark());
+            std::hint::black_box(view.digest());
         });
         let snapshot = time_each(100, |_| {
             for (key, _, text) in view.live() {
@@ -302,7 +302,7 @@
 
 fn digest(targets: usize) -> LoadDigest {
     let inflight = (0..targets)
-        .map(|number| (mark_target(&facts(number).id), 3))
+        .map(|number| (hash_target(&facts(number).id), 3))
         .collect();
     let load = ServiceLoad {
         service: "sprog".to_owned(),
@@ -311,7 +311,7 @@
         inflight,
     };
     LoadDigest {
-        number: 1,
+        sequence: 1,
         incarnation: 1,
         services: vec![load],
     }
@@ -357,7 +357,7 @@
         (15_000, 25),
         (15_000, 250),
     ] {
-        let mut range = ClaimRange::new();
+        let mut range = ClaimCommitter::new();
         let mut now = Moment::ZERO;
         let (mut version, mut writes, mut size) = (0, 0_u32, 0);
         let mut next = 0;
@@ -368,8 +368,8 @@
                     incarnation: u64::MAX / 3,
                     sequence: next,
                 };
-                range.ask(
-                    ClaimAsk::Take(claim_key(next), owner),
+                range.submit(
+                    ClaimRequest::Acquire(claim_key(next), owner),
                     now + Duration::from_secs(9),
                 );
                 next += 1;
@@ -378,13 +378,13 @@
                 now += Duration::from_millis(100);
                 match range.step(now).action {
                     Some(ClaimAction::Read) => {
-                        range.note_read(now, RangeRead::Found(version, Vec::new()));
+                        range.handle_read(now, RangeRead::Found(version, Vec::new()));
                     }
                     Some(ClaimAction::Write { bytes, .. }) => {
                         version += 1;
                         writes += 1;
                         size = bytes.len();
-                        range.note_write(now, RangeWrite::Accepted(version));
+                        range.handle_write(now, RangeWrite::Accepted(version));
                     }
                     None => (),
                 }
@@ -417,13 +417,13 @@
                 concurrency: 2000,
             };
             let mut lender = ShareLender::new(Moment::ZERO, 1, limit, true);
-            let mut heard = HeardNodes::new(Moment::ZERO, 1, nodes as u32);
+            let mut heard = NodeContacts::new(Moment::ZERO, 1, nodes as u32);
             let mut last = None;
             for round in 0..ROUNDS {
                 let now = Duration::from_millis(300 * round);
                 spent += time_each(1, |_| {
                     for (name, demand) in names.iter().zip(&mut demands) {
-                        stamp = heard.note(now, name, stamp);
+                        stamp = heard.record_contact(now, name, stamp);
                         last = lender.lend(now, name, demand, &heard);
                         if let Some(grant) = &last {
                             demand.newest = grant.number;
--- a/packages/turnford-node/src/claim.rs
+++ b/packages/turnford-node/src/claim.rs
@@ -5,9 +5,9 @@
 
 use sha2::Digest;
 use sha2::Sha256;
-use turnford_fleet::ClaimAsk;
 use turnford_fleet::ClaimKey;
 use turnford_fleet::ClaimOwner;
+use turnford_fleet::ClaimRequest;
 use turnford_fleet::ClaimState;
 use turnford_fleet::ClaimVerdict;
 use turnford_policy::AttemptId;
@@ -72,9 +72,9 @@
     fn drop(&mut self) {
         let ask = if self.sent > 0 {
             let code = self.end.unwrap_or(ResultCode::OutcomeUnknown);
-            ClaimAsk::Finish(self.key, self.owner, code.number())
+            ClaimRequest::Finish(self.key, self.owner, code.number())
         } else {
-            ClaimAsk::Release(self.key, self.owner)
+            ClaimRequest::Release(self.key, self.owner)
         };
         self.state.control.note_claim(ask, NOTE_LIMIT);
     }
@@ -105,7 +105,7 @@
     let left = request.budget.deadline().saturating_sub(state.clock.now());
     let verdict = state
         .control
-        .claim(ClaimAsk::Take(key, owner), left.min(CLAIM_LIMIT))
+        .claim(ClaimRequest::Acquire(key, owner), left.min(CLAIM_LIMIT))
         .await;
     match verdict {
         ClaimVerdict::Granted => Ok(Some(guard)),
--- a/packages/turnford-node/src/control/claims.rs
+++ b/packages/turnford-node/src/control/claims.rs
@@ -8,8 +8,8 @@
 use async_channel::Sender;
 use async_io::Timer;
 use turnford_fleet::ClaimAction;
-use turnford_fleet::ClaimAsk;
-use turnford_fleet::ClaimRange;
+use turnford_fleet::ClaimCommitter;
+use turnford_fleet::ClaimRequest;
 use turnford_fleet::ClaimTicket;
 use turnford_fleet::ClaimVerdict;
 use turnford_fleet::Duty;
@@ -33,7 +33,7 @@
 /// Committers and those who wait for them.
 #[derive(Default)]
 pub(super) struct ClaimDesk {
-    ranges: HashMap<u16, ClaimRange>,
+    ranges: HashMap<u16, ClaimCommitter>,
     waiting: HashMap<(u16, ClaimTicket), Sender<ClaimVerdict>>,
     driven: Vec<u16>,
 }
@@ -49,7 +49,7 @@
 }
 
 /// Answers a peer's ask.
-pub(super) async fn answer_claim(context: &Rc<ControlContext>, ask: ClaimAsk) -> PeerReply {
+pub(super) async fn answer_claim(context: &Rc<ControlContext>, ask: ClaimRequest) -> PeerReply {
     PeerReply::Claim(ask_here(context, ask, PEER_LIMIT).await)
 }
 
@@ -64,7 +64,7 @@
 /// Asks the node that commits the range, or commits here if it does not answer.
 async fn ask_anywhere(
     context: &Rc<ControlContext>,
-    ask: ClaimAsk,
+    ask: ClaimRequest,
     limit: Duration,
 ) -> ClaimVerdict {
     let holder = context.duty_holder(&Duty::Claims(range_of(&ask)));
@@ -90,13 +90,17 @@
 }
 
 /// Commits on this node.
-async fn ask_here(context: &Rc<ControlContext>, ask: ClaimAsk, limit: Duration) -> ClaimVerdict {
+async fn ask_here(
+    context: &Rc<ControlContext>,
+    ask: ClaimRequest,
+    limit: Duration,
+) -> ClaimVerdict {
     let range = range_of(&ask);
     let expires = context.now() + limit;
     let verdict = {
         let mut desk = context.claims.borrow_mut();
         let committer = desk.ranges.entry(range).or_default();
-        let Some(ticket) = committer.ask(ask, expires) else {
+        let Some(ticket) = committer.submit(ask, expires) else {
             return ClaimVerdict::Unavailable;
         };
         let (sender, verdict) = async_channel::bounded(1);
@@ -145,7 +149,7 @@
                 Err(_) => RangeRead::Failed,
             };
             let now = context.now();
-            with_range(context, range, |committer| committer.note_read(now, read));
+            with_range(context, range, |committer| committer.handle_read(now, read));
         }
         ClaimAction::Write { expected, bytes } => {
             let guard = VersionGuard::from_version(expected);
@@ -156,7 +160,9 @@
                 Err(_) => RangeWrite::Refused,
             };
             let now = context.now();
-            let verdicts = with_range(context, range, |committer| committer.note_write(now, write));
+            let verdicts = with_range(context, range, |committer| {
+                committer.handle_write(now, write)
+            });
             deliver(context, range, verdicts);
         }
     }
@@ -165,7 +171,7 @@
 fn with_range<T>(
     context: &ControlContext,
     range: u16,
-    step: impl FnOnce(&mut ClaimRange) -> T,
+    step: impl FnOnce(&mut ClaimCommitter) -> T,
 ) -> T {
     step(context.claims.borrow_mut().ranges.entry(range).or_default())
 }
@@ -180,7 +186,7 @@
     }
 }
 
-fn range_of(ask: &ClaimAsk) -> u16 {
+fn range_of(ask: &ClaimRequest) -> u16 {
     let [first, second, ..] = *ask.key();
     u16::from_be_bytes([first, second]) % RANGE_COUNT
 }
--- a/packages/turnford-node/src/control/config.rs
+++ b/packages/turnford-node/src/control/config.rs
@@ -8,8 +8,8 @@
 use async_io::Timer;
 use turnford_fleet::rank_members;
 use turnford_fleet::ConfigChange;
+use turnford_fleet::ConfigDigest;
 use turnford_fleet::ConfigEnvelope;
-use turnford_fleet::ConfigMark;
 use turnford_fleet::Duty;
 use turnford_fleet::Rumor;
 use turnford_platform::ObjectList;
@@ -103,8 +103,8 @@
 }
 
 /// Compares a peer's configuration with this node's, and pulls what is missing.
-pub(super) fn compare_mark(context: &Rc<ControlContext>, peer: SocketAddr, mark: ConfigMark) {
-    let own = context.view.borrow().mark();
+pub(super) fn compare_mark(context: &Rc<ControlContext>, peer: SocketAddr, mark: ConfigDigest) {
+    let own = context.view.borrow().digest();
     // The checksum finds a gap between two nodes that have seen the same newest change.
     let ahead = mark.complete_to > own.complete_to || mark.newest > own.newest;
     let differs = mark.newest == own.newest && mark.checksum != own.checksum;
@@ -171,7 +171,7 @@
         };
         let last = changes.last().map(|change| change.version);
         apply_changes(&context, changes);
-        context.view.borrow_mut().note_complete(complete_to);
+        context.view.borrow_mut().advance_complete_to(complete_to);
         match last {
             Some(last) if last > after => after = last,
             _ => return,
@@ -209,7 +209,7 @@
         }
     }
     let first = context.view.borrow().complete_to() == 0;
-    context.view.borrow_mut().note_complete(list.revision);
+    context.view.borrow_mut().advance_complete_to(list.revision);
     if !news.is_empty() {
         put_in_force(&context.state, context);
     }
--- a/packages/turnford-node/src/control/digests.rs
+++ b/packages/turnford-node/src/control/digests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use turnford_fleet::mark_target;
+use turnford_fleet::hash_target;
 use turnford_fleet::LoadDigest;
 use turnford_fleet::ServiceLoad;
 use turnford_policy::Moment;
@@ -58,7 +58,7 @@
         }
     }
     LoadDigest {
-        number,
+        sequence: number,
         incarnation: context.state.attempts.incarnation(),
         services,
     }
@@ -68,7 +68,7 @@
     let busy = pool.views().iter().filter(|view| view.own_inflight() > 0);
     let inflight = busy.map(|view| {
         let count = u16::try_from(view.own_inflight()).unwrap_or(u16::MAX);
-        (mark_target(&view.facts.id), count)
+        (hash_target(&view.facts.id), count)
     });
     let summary = pool.summary(now);
     ServiceLoad {
@@ -105,7 +105,7 @@
                 .map(|view| view.facts.id.clone())
                 .collect();
             for target in targets {
-                let count = inflight.get(&mark_target(&target)).copied().unwrap_or(0);
+                let count = inflight.get(&hash_target(&target)).copied().unwrap_or(0);
                 pool.apply_peer_load(now, &target, count);
             }
         });
--- a/packages/turnford-node/src/control/leases.rs
+++ b/packages/turnford-node/src/control/leases.rs
@@ -5,8 +5,8 @@
 use std::time::UNIX_EPOCH;
 
 use turnford_fleet::LeaseAction;
-use turnford_fleet::LeaseAnswer;
 use turnford_fleet::LeaseHolder;
+use turnford_fleet::LeaseOutcome;
 use turnford_fleet::LeaseRecord;
 use turnford_platform::PlatformError;
 use turnford_platform::VersionGuard;
@@ -17,7 +17,7 @@
 /// may have lost the record that holds the highest one.
 pub(super) fn raise_token(lease: &mut LeaseHolder) {
     match SystemTime::now().duration_since(UNIX_EPOCH) {
-        Ok(since) => lease.raise_token(u64::try_from(since.as_millis()).unwrap_or(0)),
+        Ok(since) => lease.raise_token_floor(u64::try_from(since.as_millis()).unwrap_or(0)),
         Err(fault) => log::warn!("time of day before 1970, tokens don't rise with it: {fault}"),
     }
 }
@@ -28,29 +28,29 @@
     context: &ControlContext,
     key: &str,
     action: LeaseAction,
-) -> (LeaseAnswer, Option<Duration>) {
+) -> (LeaseOutcome, Option<Duration>) {
     let answer = call_platform(context, key, action).await;
     // No other call ends between that answer and this line.
     (answer, context.objects.restored_ago())
 }
 
-async fn call_platform(context: &ControlContext, key: &str, action: LeaseAction) -> LeaseAnswer {
+async fn call_platform(context: &ControlContext, key: &str, action: LeaseAction) -> LeaseOutcome {
     match action {
         LeaseAction::Read => match context.objects.get(key).await {
             Ok(value) => match serde_json::from_slice::<LeaseRecord>(&value.bytes) {
-                Ok(record) => LeaseAnswer::Found(Some((value.version, record))),
-                Err(_) => LeaseAnswer::Failed,
+                Ok(record) => LeaseOutcome::Found(Some((value.version, record))),
+                Err(_) => LeaseOutcome::Failed,
             },
-            Err(PlatformError::NotFound) => LeaseAnswer::Found(None),
-            Err(_) => LeaseAnswer::Failed,
+            Err(PlatformError::NotFound) => LeaseOutcome::Found(None),
+            Err(_) => LeaseOutcome::Failed,
         },
         LeaseAction::Write { expected, record } => {
             let guard = VersionGuard::from_version(expected);
             let bytes = serde_json::to_vec(&record).unwrap_or_default();
             match context.objects.put(key, guard, bytes).await {
-                Ok(version) => LeaseAnswer::Accepted(version),
-                Err(PlatformError::Conflict { .. }) => LeaseAnswer::Conflict,
-                Err(_) => LeaseAnswer::Failed,
+                Ok(version) => LeaseOutcome::Accepted(version),
+                Err(PlatformError::Conflict { .. }) => LeaseOutcome::Conflict,
+                Err(_) => LeaseOutcome::Failed,
             }
         }
     }
--- a/packages/turnford-node/src/control/lenders.rs
+++ b/packages/turnford-node/src/control/lenders.rs
@@ -4,14 +4,14 @@
 use std::rc::Rc;
 
 use turnford_config::ClientAccount;
-use turnford_fleet::group_account;
+use turnford_fleet::account_group;
 use turnford_fleet::Duty;
-use turnford_fleet::HeardNodes;
 use turnford_fleet::LeaseAction;
 use turnford_fleet::LeaseHolder;
 use turnford_fleet::LeaseSettings;
 use turnford_fleet::LenderStamp;
 use turnford_fleet::Moment;
+use turnford_fleet::NodeContacts;
 use turnford_fleet::ShareDemand;
 use turnford_fleet::ShareLender;
 use turnford_fleet::ShareSize;
@@ -36,7 +36,7 @@
     token: Version,
     is_first: bool,
     began: Moment,
-    heard: HeardNodes,
+    heard: NodeContacts,
     lenders: HashMap<String, ShareLender>,
 }
 
@@ -84,11 +84,11 @@
     let Some(term) = found.and_then(|group| current_term(now, group, fleet_size)) else {
         return PeerReply::Refused;
     };
-    let stamp = term.heard.note(now, node, stamp);
+    let stamp = term.heard.record_contact(now, node, stamp);
     let mut grants = Vec::new();
     for demand in demands
         .iter()
-        .filter(|demand| group_account(&demand.account) == group)
+        .filter(|demand| account_group(&demand.account) == group)
     {
         let account = config
             .accounts
@@ -123,7 +123,7 @@
             token,
             is_first,
             began: now,
-            heard: HeardNodes::new(now, token, fleet_size),
+            heard: NodeContacts::new(now, token, fleet_size),
             lenders: HashMap::new(),
         });
     }
@@ -163,6 +163,6 @@
         perform_lease(&context, &format!("lease/lend-{group}"), action).await;
     let now = context.now();
     let lease = &mut context.shares.borrow_mut().groups[usize::from(group)].lease;
-    lease.note_restored(restored_ago);
-    lease.note(now, answer);
+    lease.set_restored_ago(restored_ago);
+    lease.handle_outcome(now, answer);
 }
--- a/packages/turnford-node/src/control/members.rs
+++ b/packages/turnford-node/src/control/members.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use serde::Deserialize;
 use serde::Serialize;
-use turnford_fleet::ConfigMark;
+use turnford_fleet::ConfigDigest;
 use turnford_fleet::Duty;
 use turnford_fleet::MemberState;
 use turnford_fleet::MemberUpdate;
@@ -96,7 +96,7 @@
     let mut members = context.members.borrow_mut();
     PeerRequest::Ping {
         gossip: members.take_gossip(to),
-        digest: context.view.borrow().mark(),
+        digest: context.view.borrow().digest(),
         members: members.checksum(),
     }
 }
@@ -105,7 +105,7 @@
 pub(super) fn answer_ping(
     context: &Rc<ControlContext>,
     gossip: Vec<MemberUpdate>,
-    mark: ConfigMark,
+    mark: ConfigDigest,
 ) -> PeerReply {
     let from = gossip.first().cloned();
     apply_gossip(context, gossip);
@@ -116,7 +116,7 @@
     let mut members = context.members.borrow_mut();
     PeerReply::Pong {
         gossip: members.take_gossip(to),
-        digest: context.view.borrow().mark(),
+        digest: context.view.borrow().digest(),
         members: members.checksum(),
     }
 }
@@ -177,7 +177,10 @@
     }
     if !reached {
         let now = context.now();
-        context.members.borrow_mut().note_silent(now, &plan.name);
+        context
+            .members
+            .borrow_mut()
+            .record_probe_failure(now, &plan.name);
     }
 }
 
--- a/packages/turnford-node/src/control/orders.rs
+++ b/packages/turnford-node/src/control/orders.rs
@@ -12,9 +12,9 @@
 use turnford_fleet::LeaseSettings;
 use turnford_fleet::ModelTarget;
 use turnford_fleet::OrderAction;
-use turnford_fleet::OrderAnswer;
-use turnford_fleet::OrderBook;
 use turnford_fleet::OrderKind;
+use turnford_fleet::OrderOutcome;
+use turnford_fleet::OrderQueue;
 use turnford_fleet::OrderRecord;
 use turnford_fleet::TargetOrder;
 use turnford_platform::PlatformError;
@@ -40,7 +40,7 @@
 /// Giver of one service's orders on this node.
 struct OrderGiver {
     lease: LeaseHolder,
-    book: OrderBook,
+    book: OrderQueue,
     told_halt: bool,
 }
 
@@ -71,7 +71,7 @@
     let mark = context.state.attempts.incarnation();
     Rc::new(RefCell::new(OrderGiver {
         lease: LeaseHolder::new(name, LeaseSettings::default(), mark),
-        book: OrderBook::new(),
+        book: OrderQueue::new(),
         told_halt: false,
     }))
 }
@@ -94,8 +94,8 @@
             let key = format!("lease/orders-{service}");
             let (answer, restored_ago) = perform_lease(&context, &key, action).await;
             let lease = &mut giver.borrow_mut().lease;
-            lease.note_restored(restored_ago);
-            lease.note(context.now(), answer);
+            lease.set_restored_ago(restored_ago);
+            lease.handle_outcome(context.now(), answer);
         };
         executor.spawn(call).detach();
     }
@@ -158,7 +158,7 @@
                 .iter()
                 .map(|model| model.to_string())
                 .collect(),
-            room: MODEL_ROOM,
+            model_capacity: MODEL_ROOM,
         });
         targets.collect()
     })
@@ -177,25 +177,25 @@
             let guard = VersionGuard::from_version(expected);
             let bytes = serde_json::to_vec(&record).unwrap_or_default();
             match context.objects.put(&key, guard, bytes).await {
-                Ok(version) => OrderAnswer::Accepted(version),
-                Err(PlatformError::Unavailable | PlatformError::OverBudget) => OrderAnswer::Failed,
-                Err(_) => OrderAnswer::Reread,
+                Ok(version) => OrderOutcome::Accepted(version),
+                Err(PlatformError::Unavailable | PlatformError::OverBudget) => OrderOutcome::Failed,
+                Err(_) => OrderOutcome::Reread,
             }
         }
-        OrderAction::Give { order, token } => give(&context, &giver, &order, token).await,
+        OrderAction::Send { order, token } => give(&context, &giver, &order, token).await,
     };
     let now = context.now();
-    giver.borrow_mut().book.note(now, answer);
+    giver.borrow_mut().book.handle_outcome(now, answer);
 }
 
-async fn read_record(context: &ControlContext, key: &str) -> OrderAnswer {
+async fn read_record(context: &ControlContext, key: &str) -> OrderOutcome {
     match context.objects.get(key).await {
         Ok(value) => match serde_json::from_slice::<OrderRecord>(&value.bytes) {
-            Ok(record) => OrderAnswer::Found(Some((value.version, record))),
-            Err(_) => OrderAnswer::Failed,
+            Ok(record) => OrderOutcome::Found(Some((value.version, record))),
+            Err(_) => OrderOutcome::Failed,
         },
-        Err(PlatformError::NotFound) => OrderAnswer::Found(None),
-        Err(_) => OrderAnswer::Failed,
+        Err(PlatformError::NotFound) => OrderOutcome::Found(None),
+        Err(_) => OrderOutcome::Failed,
     }
 }
 
@@ -205,7 +205,7 @@
     giver: &RefCell<OrderGiver>,
     order: &TargetOrder,
     token: u64,
-) -> OrderAnswer {
+) -> OrderOutcome {
     let target = context
         .state
         .addresses
@@ -213,7 +213,7 @@
         .get(order.target.as_str())
         .copied();
     let Some(address) = target else {
-        return OrderAnswer::NotDone;
+        return OrderOutcome::NotDone;
     };
     let kind = match order.kind {
         OrderKind::Load => "load",
@@ -222,14 +222,14 @@
     if order.kind == OrderKind::Load {
         match context.weights.reserve(&order.model).await {
             Ok(wait) if wait.is_zero() => (),
-            Ok(wait) => return OrderAnswer::Later(wait),
-            Err(_) => return OrderAnswer::Later(Duration::from_secs(1)),
+            Ok(wait) => return OrderOutcome::Deferred(wait),
+            Err(_) => return OrderOutcome::Deferred(Duration::from_secs(1)),
         }
     }
     // Looked at right before the call: a node that slept here does nothing with an old lease.
     let held = giver.borrow().lease.token(context.now());
     let Some(held) = held.filter(|held| *held >= token) else {
-        return OrderAnswer::Later(ROUND_PAUSE);
+        return OrderOutcome::Deferred(ROUND_PAUSE);
     };
     let model = &order.model;
     match context
@@ -240,11 +240,11 @@
     {
         Ok(()) => {
             log::info!("target {} was told to {kind} {model}", order.target);
-            OrderAnswer::Done
+            OrderOutcome::Done
         }
         Err(fault) => {
             log::warn!("target {} did not {kind} {model}: {fault}", order.target);
-            OrderAnswer::NotDone
+            OrderOutcome::NotDone
         }
     }
 }
--- a/packages/turnford-node/src/control/shares.rs
+++ b/packages/turnford-node/src/control/shares.rs
@@ -8,13 +8,13 @@
 
 use async_channel::Receiver;
 use async_io::Timer;
-use turnford_fleet::group_account;
+use turnford_fleet::account_group;
 use turnford_fleet::Duty;
 use turnford_fleet::Moment;
 use turnford_fleet::ShareDemand;
 use turnford_fleet::ShareHolder;
 use turnford_fleet::ShareSize;
-use turnford_fleet::GROUP_COUNT;
+use turnford_fleet::ACCOUNT_GROUP_COUNT;
 use turnford_wire::PeerReply;
 use turnford_wire::PeerRequest;
 
@@ -53,25 +53,25 @@
     demands: HashMap<String, f64>,
     asked_at: Moment,
     fetched_at: HashMap<String, Moment>,
-    answered: [bool; GROUP_COUNT as usize],
+    answered: [bool; ACCOUNT_GROUP_COUNT as usize],
 }
 
 impl ShareDesk {
     pub(super) fn new(name: &str, seed: u64) -> Self {
-        let groups = (0..GROUP_COUNT).map(|_| LenderGroup::new(name, seed));
+        let groups = (0..ACCOUNT_GROUP_COUNT).map(|_| LenderGroup::new(name, seed));
         Self {
             groups: groups.collect(),
             holders: HashMap::new(),
             demands: HashMap::new(),
             asked_at: Moment::ZERO,
             fetched_at: HashMap::new(),
-            answered: [false; GROUP_COUNT as usize],
+            answered: [false; ACCOUNT_GROUP_COUNT as usize],
         }
     }
 
     /// Returns what is asked for an account.
     fn demand_of(&self, now: Moment, account: &str, rate: f64, running: u32) -> ShareDemand {
-        let contact = self.groups[usize::from(group_account(account))].contact;
+        let contact = self.groups[usize::from(account_group(account))].contact;
         let holder = self.holders.get(account);
         ShareDemand {
             account: account.to_owned(),
@@ -96,11 +96,11 @@
 pub(super) async fn follow_shares(context: Rc<ControlContext>) {
     loop {
         Timer::after(ROUND_PAUSE).await;
-        for group in 0..GROUP_COUNT {
+        for group in 0..ACCOUNT_GROUP_COUNT {
             step_lease(&context, group);
         }
         let mut demands = measure_demands(&context);
-        for group in 0..GROUP_COUNT {
+        for group in 0..ACCOUNT_GROUP_COUNT {
             // Without demands the ask shows that this node is there.
             let own = demands.remove(&group).unwrap_or_default();
             let ask = ask_shares(context.clone(), group, own, true);
@@ -137,7 +137,7 @@
     };
     if due {
         let demand = fetch_demand(&context, &call.account);
-        let group = group_account(&call.account);
+        let group = account_group(&call.account);
         ask_shares(context.clone(), group, vec![demand], false).await;
         apply_limits(&context);
     }
@@ -170,9 +170,9 @@
     }
     let config = state.config.load();
     let mut waiting = false;
-    for group in 0..GROUP_COUNT {
+    for group in 0..ACCOUNT_GROUP_COUNT {
         let mut accounts = config.accounts.values();
-        let first = accounts.find(|account| group_account(&account.name) == group);
+        let first = accounts.find(|account| account_group(&account.name) == group);
         let answered = context.shares.borrow().answered[usize::from(group)];
         let Some(account) = first.filter(|_| !answered) else {
             continue;
@@ -198,7 +198,7 @@
     let mut desk = context.shares.borrow_mut();
     let mut limits = context.state.limits();
     for account in config.accounts.values() {
-        let contact = desk.groups[usize::from(group_account(&account.name))].contact;
+        let contact = desk.groups[usize::from(account_group(&account.name))].contact;
         let fresh = || ShareHolder::new(limit_of(account), fleet_size);
         let holder = desk
             .holders
@@ -230,7 +230,7 @@
         }
         let asked = desk.demand_of(now, account, demand, limit.running());
         by_group
-            .entry(group_account(account))
+            .entry(account_group(account))
             .or_default()
             .push(asked);
     }
@@ -294,7 +294,7 @@
         let others = desk
             .holders
             .iter_mut()
-            .filter(|(account, _)| group_account(account) == group && !listed.contains(account));
-        others.for_each(|(_, holder)| holder.forget_ended(asked));
+            .filter(|(account, _)| account_group(account) == group && !listed.contains(account));
+        others.for_each(|(_, holder)| holder.clear_expired(asked));
     }
 }
--- a/packages/turnford-node/src/inbox.rs
+++ b/packages/turnford-node/src/inbox.rs
@@ -4,7 +4,7 @@
 
 use async_channel::Receiver;
 use async_channel::Sender;
-use turnford_fleet::ClaimAsk;
+use turnford_fleet::ClaimRequest;
 use turnford_fleet::ClaimVerdict;
 
 /// Messages that may wait for control before senders are refused.
@@ -12,7 +12,7 @@
 
 /// A claim that a request asks for, or a note on one.
 pub(crate) struct ClaimCall {
-    pub(crate) ask: ClaimAsk,
+    pub(crate) ask: ClaimRequest,
     /// Time in which an answer is of use.
     pub(crate) limit: Duration,
     /// Where the answer goes; `None` if nobody waits for it.
@@ -67,7 +67,7 @@
 
 impl ControlOutbox {
     /// Asks for a claim and waits for the verdict.
-    pub(crate) async fn claim(&self, ask: ClaimAsk, limit: Duration) -> ClaimVerdict {
+    pub(crate) async fn claim(&self, ask: ClaimRequest, limit: Duration) -> ClaimVerdict {
         let (reply, verdict) = async_channel::bounded(1);
         let call = ClaimCall {
             ask,
@@ -81,7 +81,7 @@
     }
 
     /// Hands over a note on a claim; nobody waits for it.
-    pub(crate) fn note_claim(&self, ask: ClaimAsk, limit: Duration) {
+    pub(crate) fn note_claim(&self, ask: ClaimRequest, limit: Duration) {
         let call = ClaimCall {
             ask,
             limit,
--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -201,7 +201,7 @@
 ) -> Result<(), FlowRefusal> {
     let mut division = desk.limits.division.borrow_mut();
     let has_limits = desk.limits.board.borrow().has_limits();
-    let Some(divider) = division.divider().filter(|_| has_limits) else {
+    let Some(divider) = division.allocator().filter(|_| has_limits) else {
         return Ok(());
     };
     let targets = desk.board.borrow().untried_targets(&[]);
@@ -211,7 +211,7 @@
     if lateness.is_zero() {
         return Ok(());
     }
-    let retry_after = divider.plan_return(now, lateness, &targets);
+    let retry_after = divider.schedule_retry(now, lateness, &targets);
     Err(FlowRefusal {
         lateness,
         retry_after,
--- a/packages/turnford-serve/src/control/members.rs
+++ b/packages/turnford-serve/src/control/members.rs
@@ -210,7 +210,10 @@
     if !is_reached {
         log::info!("member={} does not answer", plan.name);
         let now = context.now();
-        context.members.borrow_mut().note_silent(now, &plan.name);
+        context
+            .members
+            .borrow_mut()
+            .record_probe_failure(now, &plan.name);
     }
 }
 
--- a/packages/turnford-serve/src/control/suspects.rs
+++ b/packages/turnford-serve/src/control/suspects.rs
@@ -9,7 +9,7 @@
 use turnford_adapter::StoreError;
 use turnford_adapter::StoreObject;
 use turnford_adapter::SUSPECT_KIND;
-use turnford_fleet::CrashNews;
+use turnford_fleet::CrashUpdate;
 use turnford_policy::RequestDigest;
 
 use super::context::ControlContext;
@@ -28,7 +28,7 @@
     /// When it was written, in milliseconds of the time of day.
     written: u64,
     /// The crashes under it, their ages as of then.
-    crashes: Vec<CrashNews>,
+    crashes: Vec<CrashUpdate>,
 }
 
 /// Writes and removes requests' objects for as long as the node runs.
@@ -52,7 +52,7 @@
 async fn write(
     context: &ControlContext,
     digest: RequestDigest,
-    crashes: Vec<CrashNews>,
+    crashes: Vec<CrashUpdate>,
 ) -> Result<(), StoreError> {
     log::info!(
         "asks={digest} is kept in the store: crashes={}",
@@ -90,7 +90,7 @@
             continue;
         }
         let more = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-        let crashes = record.crashes.into_iter().map(|news| CrashNews {
+        let crashes = record.crashes.into_iter().map(|news| CrashUpdate {
             age_ms: news.age_ms.saturating_add(more),
             ..news
         });
--- a/packages/turnford-serve/src/crash.rs
+++ b/packages/turnford-serve/src/crash.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use turnford_fleet::CrashEvent;
-use turnford_fleet::CrashNews;
 use turnford_fleet::CrashPart;
 use turnford_fleet::CrashTable;
+use turnford_fleet::CrashUpdate;
 use turnford_fleet::CrashVerdict;
 use turnford_policy::Moment;
 use turnford_policy::ProcessStart;
@@ -53,7 +53,7 @@
 pub(crate) struct CrashDesk {
     pub(crate) table: RefCell<CrashTable>,
     /// News that is not told yet.
-    pub(crate) untold: NewsQueue<CrashNews>,
+    pub(crate) untold: NewsQueue<CrashUpdate>,
     /// When a list of all crashes may be sent again.
     pub(crate) list_after: Cell<Moment>,
     /// Broken calls whose targets may be found to have crashed.
@@ -186,7 +186,7 @@
     let now = traffic.shared.now();
     let crashes = traffic.crashes.table.borrow().crashes(now, digest).count();
     let has_ended_well = event == CrashEvent::EndedWell;
-    let news = CrashNews {
+    let news = CrashUpdate {
         digest: digest.0,
         event,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
@@ -205,7 +205,7 @@
 
 /// Takes what happened to a request, and says so if that changes what is thought of it; false if
 /// nothing is new.
-pub(crate) fn take_crash(traffic: &Traffic, news: &CrashNews) -> bool {
+pub(crate) fn take_crash(traffic: &Traffic, news: &CrashUpdate) -> bool {
     let now = traffic.shared.now();
     let digest = RequestDigest(news.digest);
     let mut table = traffic.crashes.table.borrow_mut();
@@ -227,7 +227,7 @@
     });
     let crashes: String = crashes.collect();
     match verdict {
-        CrashVerdict::Sound => log::info!("asks={digest} is cleared: it ended well"),
+        CrashVerdict::Clear => log::info!("asks={digest} is cleared: it ended well"),
         CrashVerdict::Suspect { is_alone, .. } => {
             log::info!("asks={digest} is a suspect: alone={is_alone}{crashes}");
         }
--- a/packages/turnford-serve/src/crash_news.rs
+++ b/packages/turnford-serve/src/crash_news.rs
@@ -14,7 +14,7 @@
 use async_io::Timer;
 
 use turnford_fleet::CrashEvent;
-use turnford_fleet::CrashNews;
+use turnford_fleet::CrashUpdate;
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
@@ -47,7 +47,7 @@
 const START_PAUSE: Duration = Duration::from_millis(10);
 
 /// Tells some other nodes soon.
-pub(crate) fn tell_crashes(traffic: &Rc<Traffic>, news: Vec<CrashNews>) {
+pub(crate) fn tell_crashes(traffic: &Rc<Traffic>, news: Vec<CrashUpdate>) {
     if traffic.crashes.untold.add(news) {
         let tell = tell_untold(traffic.clone());
         traffic.executor.spawn(tell).detach();
@@ -56,7 +56,7 @@
 
 /// Tells the nodes that place what happened at this one. They decide whether the next copy runs, and other
 /// ways of the news may be slower or lose it.
-pub(crate) fn tell_placers(traffic: &Rc<Traffic>, news: &CrashNews) {
+pub(crate) fn tell_placers(traffic: &Rc<Traffic>, news: &CrashUpdate) {
     let request = WorkRequest::Crashes(vec![news.clone()]);
     let told = traffic.clone();
     // A crash may be found while the services are being changed, when they can't be listed.
@@ -88,9 +88,9 @@
 }
 
 /// Takes another node's news, and passes on what is new.
-pub(crate) fn answer_crashes(traffic: &Rc<Traffic>, news: Vec<CrashNews>) -> WorkReply {
+pub(crate) fn answer_crashes(traffic: &Rc<Traffic>, news: Vec<CrashUpdate>) -> WorkReply {
     let new = news.into_iter().filter(|news| take_crash(traffic, news));
-    let new: Vec<CrashNews> = new.collect();
+    let new: Vec<CrashUpdate> = new.collect();
     if !new.is_empty() {
         tell_crashes(traffic, new);
     }
@@ -110,7 +110,7 @@
 
 /// Returns all crashes for another node; none if the last such list is not long enough ago, unless
 /// the other one has just started.
-fn list_crashes(traffic: &Traffic, is_new: bool) -> Vec<CrashNews> {
+fn list_crashes(traffic: &Traffic, is_new: bool) -> Vec<CrashUpdate> {
     let now = traffic.shared.now();
     if !is_new && now < traffic.crashes.list_after.get() {
         return Vec::new();
@@ -141,7 +141,7 @@
     let table = traffic.crashes.table.borrow();
     let metrics = &traffic.shared.metrics;
     metrics.suspects.set(table.len() as u64);
-    metrics.crashing.set(table.refused() as u64);
+    metrics.crashing.set(table.refused_count() as u64);
 }
 
 /// Compares with one node, takes what it tells and tells it what it does not know; true if it
--- a/packages/turnford-serve/src/desk.rs
+++ b/packages/turnford-serve/src/desk.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use turnford_fleet::TrialLedger;
-use turnford_fleet::TrialTicket;
+use turnford_fleet::TrialId;
+use turnford_fleet::TrialTable;
 use turnford_policy::split_cells;
 use turnford_policy::EngineScheduler;
 use turnford_policy::FlowController;
@@ -53,9 +53,9 @@
     pub(crate) flow: RefCell<FlowController>,
     pub(crate) allowance: RefCell<RetryAllowance>,
     /// Suspects that run, where this node places for all.
-    pub(crate) trials: RefCell<TrialLedger>,
+    pub(crate) trials: RefCell<TrialTable>,
     /// Number of the newest trial at a target that is no engine.
-    next_trial: Cell<TrialTicket>,
+    next_trial: Cell<TrialId>,
     /// Span of this node's own calls until their first answer, by the tokens that only the request has.
     last_line: RefCell<LatencyModel>,
     /// Requests that wait until a target takes calls.
@@ -105,7 +105,7 @@
     }
 
     /// Returns a number for a trial at a target that is no engine; engines number their runs.
-    pub(crate) fn take_trial_number(&self) -> TrialTicket {
+    pub(crate) fn take_trial_number(&self) -> TrialId {
         self.next_trial.set(self.next_trial.get() + 1);
         self.next_trial.get()
     }
--- a/packages/turnford-serve/src/keeping.rs
+++ b/packages/turnford-serve/src/keeping.rs
@@ -25,7 +25,7 @@
     let keep = async move {
         Timer::after(SETTLE_PAUSE).await;
         let now = keeper.shared.now();
-        let news = keeper.crashes.table.borrow().news_of(now, &digest);
+        let news = keeper.crashes.table.borrow().updates_for(now, &digest);
         if news.len() >= LEAST_CRASHES {
             keeper.shared.kept.order(KeepOrder::Keep(digest, news));
         }
--- a/packages/turnford-serve/src/kept.rs
+++ b/packages/turnford-serve/src/kept.rs
@@ -7,7 +7,7 @@
 use async_channel::Receiver;
 use async_channel::Sender;
 
-use turnford_fleet::CrashNews;
+use turnford_fleet::CrashUpdate;
 use turnford_policy::RequestDigest;
 
 /// Orders that may wait for the control thread; each is a call to the store.
@@ -16,7 +16,7 @@
 /// What the control thread is to do with a kept request.
 pub(crate) enum KeepOrder {
     /// Write what is known of it.
-    Keep(RequestDigest, Vec<CrashNews>),
+    Keep(RequestDigest, Vec<CrashUpdate>),
     /// Remove it: it ended well.
     Forget(RequestDigest),
 }
@@ -24,7 +24,7 @@
 /// What the traffic thread and the control thread tell each other of kept requests.
 pub(crate) struct KeptSuspects {
     orders: (Sender<KeepOrder>, Receiver<KeepOrder>),
-    learned: Mutex<Vec<CrashNews>>,
+    learned: Mutex<Vec<CrashUpdate>>,
 }
 
 impl Default for KeptSuspects {
@@ -43,13 +43,13 @@
     }
 
     /// Notes what the store holds.
-    pub(crate) fn note_learned(&self, news: Vec<CrashNews>) {
+    pub(crate) fn note_learned(&self, news: Vec<CrashUpdate>) {
         let mut learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
         learned.extend(news);
     }
 
     /// Takes what the store held.
-    pub(crate) fn take_learned(&self) -> Vec<CrashNews> {
+    pub(crate) fn take_learned(&self) -> Vec<CrashUpdate> {
         let mut learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *learned)
     }
--- a/packages/turnford-serve/src/limit_news.rs
+++ b/packages/turnford-serve/src/limit_news.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 
-use turnford_fleet::DivisionRole;
+use turnford_fleet::AllocationRole;
 use turnford_fleet::LimitEntry;
 use turnford_fleet::LimitTerm;
 use turnford_policy::LimitObservation;
@@ -119,12 +119,12 @@
     asked: Option<&LimitTerm>,
 ) -> bool {
     let role = limits.enter(asked);
-    if !matches!(role, DivisionRole::Divides { .. }) {
+    if !matches!(role, AllocationRole::Allocates { .. }) {
         return false;
     }
     let now = limits.peers.shared.now();
-    if let Some(divider) = limits.division.borrow_mut().divider() {
-        divider.note_word(now, target, born, heard);
+    if let Some(divider) = limits.division.borrow_mut().allocator() {
+        divider.observe(now, target, born, heard);
     }
     limits.publish(false);
     true
@@ -162,7 +162,7 @@
 pub(crate) fn take_limits(limits: &ServiceLimits, news: &LimitUpdate) -> bool {
     let is_later = limits.note_term(&news.term);
     let mut division = limits.division.borrow_mut();
-    let is_told = division.term() == Some(&news.term) && division.divider().is_none();
+    let is_told = division.term() == Some(&news.term) && division.allocator().is_none();
     drop(division);
     is_told && (limits.take_entries(&news.entries) || is_later)
 }
--- a/packages/turnford-serve/src/limit_place.rs
+++ b/packages/turnford-serve/src/limit_place.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use turnford_fleet::PermitUse;
-use turnford_fleet::TurnAnswer;
-use turnford_fleet::TurnAsk;
+use turnford_fleet::PermitDecision;
+use turnford_fleet::PermitPurpose;
+use turnford_fleet::QueuedRequest;
 use turnford_policy::Moment;
 use turnford_policy::PlacementRequest;
 use turnford_policy::TargetId;
@@ -53,7 +53,7 @@
     traffic: &Traffic,
     desk: &ServiceDesk,
     need: &PlacementRequest,
-    turn: &TurnAsk,
+    turn: &QueuedRequest,
 ) -> LimitedPlace {
     if !desk.limits.board.borrow().has_limits() {
         return LimitedPlace::of(place_best(traffic, desk, need));
@@ -61,7 +61,7 @@
     let now = traffic.shared.now();
     let left = desk.board.borrow().untried_targets(&need.tried);
     let mut division = desk.limits.division.borrow_mut();
-    let Some(divider) = division.divider() else {
+    let Some(divider) = division.allocator() else {
         drop(division);
         return place_beside(traffic, desk, need, &left);
     };
@@ -72,21 +72,21 @@
         free.iter().any(|id| !board.is_paused(now, id))
     };
     if !limited.is_empty() && !is_any_awake {
-        match divider.ask_turn(now, turn, &limited) {
-            TurnAnswer::Now => {}
-            TurnAnswer::Wait(span) => return LimitedPlace::Later(span),
-            TurnAnswer::Never(span) => return LimitedPlace::Full(span),
+        match divider.request_permit(now, turn, &limited) {
+            PermitDecision::Granted => {}
+            PermitDecision::Wait(span) => return LimitedPlace::Later(span),
+            PermitDecision::Rejected(span) => return LimitedPlace::Full(span),
         }
     }
     let mut need = need.clone();
-    let used_up = limited.iter().filter(|id| !divider.has_room(now, id));
+    let used_up = limited.iter().filter(|id| !divider.has_capacity(now, id));
     need.tried
         .extend(used_up.cloned().collect::<Vec<TargetId>>());
     let Some((target, ticket)) = place_best(traffic, desk, &need) else {
         return LimitedPlace::Nowhere;
     };
     let has_permit = limited.contains(&target.id);
-    if let Err(wait) = divider.take(now, &target.id, PermitUse::Work) {
+    if let Err(wait) = divider.take(now, &target.id, PermitPurpose::Work) {
         desk.engines.borrow_mut().record_end(ticket);
         return LimitedPlace::Later(wait);
     }
@@ -165,7 +165,7 @@
         if desk.limits.board.borrow().is_open(now, &target.id) {
             return Ok(Some(target));
         }
-        match desk.limits.ask_permit(&target, PermitUse::Work).await {
+        match desk.limits.ask_permit(&target, PermitPurpose::Work).await {
             PermitEnd::Granted => return Ok(Some(target)),
             PermitEnd::Unknown(span) => {
                 report_limit(&desk.limits, &target);
--- a/packages/turnford-serve/src/limit_watch.rs
+++ b/packages/turnford-serve/src/limit_watch.rs
@@ -54,7 +54,7 @@
     }
     let divides = |desk: &Rc<ServiceDesk>| {
         let mut division = desk.limits.division.borrow_mut();
-        division.divider().is_some()
+        division.allocator().is_some()
     };
     let count = if desks.iter().any(divides) {
         DIVIDER_PEERS
@@ -113,10 +113,10 @@
     let now = traffic.shared.now();
     let limits = &desk.limits;
     let mut division = limits.division.borrow_mut();
-    let idle = division.divider().map_or_else(Vec::new, |divider| {
+    let idle = division.allocator().map_or_else(Vec::new, |divider| {
         let board = limits.board.borrow();
-        divider.keep_only(|target: &TargetId, born| board.is_known(target, born));
-        divider.note_reach(traffic.shared.view.load().reaches_half());
+        divider.retain_listed(|target: &TargetId, born| board.is_known(target, born));
+        divider.set_reaches_half(traffic.shared.view.load().reaches_half());
         divider.take_idle(now)
     });
     drop(division);
@@ -142,7 +142,7 @@
     let mut waiting = 0;
     for desk in traffic.all_desks() {
         targets += desk.limits.board.borrow().limited().count();
-        if let Some(divider) = desk.limits.division.borrow_mut().divider() {
+        if let Some(divider) = desk.limits.division.borrow_mut().allocator() {
             let (given, line) = divider.load(now);
             rate += given;
             waiting += line;
--- a/packages/turnford-serve/src/limits.rs
+++ b/packages/turnford-serve/src/limits.rs
@@ -14,15 +14,15 @@
 use async_io::Timer;
 use siphasher::sip::SipHasher13;
 
-use turnford_fleet::DividerId;
-use turnford_fleet::DivisionRole;
+use turnford_fleet::AllocationRole;
+use turnford_fleet::AllocatorElection;
+use turnford_fleet::AllocatorId;
 use turnford_fleet::Duty;
-use turnford_fleet::HolderSight;
-use turnford_fleet::LimitDivision;
+use turnford_fleet::HolderStatus;
 use turnford_fleet::LimitEntry;
 use turnford_fleet::LimitTerm;
-use turnford_fleet::PermitUse;
-use turnford_fleet::PERMIT_SPAN;
+use turnford_fleet::PermitPurpose;
+use turnford_fleet::PERMIT_LIFETIME;
 use turnford_policy::LimitTable;
 use turnford_policy::Moment;
 use turnford_policy::ProcessStart;
@@ -76,7 +76,7 @@
     pub(crate) peers: Rc<PeerLinks>,
     pub(crate) service: ServiceId,
     pub(crate) board: RefCell<LimitTable>,
-    pub(crate) division: RefCell<LimitDivision>,
+    pub(crate) division: RefCell<AllocatorElection>,
     /// Whether the node that divides places for the service, as it does while there are limits.
     pub(crate) is_divided: Cell<bool>,
     /// Targets whose words are on their way to it.
@@ -96,7 +96,7 @@
             peers,
             service,
             board: RefCell::default(),
-            division: RefCell::new(LimitDivision::new(own)),
+            division: RefCell::new(AllocatorElection::new(own)),
             is_divided: Cell::new(false),
             reports: RefCell::default(),
             on_change: Box::new(on_change),
@@ -124,53 +124,53 @@
     }
 
     /// Finds out who divides for a node that asks this one, or for this one itself.
-    pub(crate) fn enter(&self, asked: Option<&LimitTerm>) -> DivisionRole {
+    pub(crate) fn enter(&self, asked: Option<&LimitTerm>) -> AllocationRole {
         if let Some(asked) = asked {
             self.note_term(asked);
         }
         let now = self.peers.shared.now();
         let mut division = self.division.borrow_mut();
-        let sight = |holder: &DividerId| self.sight(now, holder);
-        let role = division.enter(now, asked, sight, self.board.borrow().limited());
-        if let Some(divider) = division.divider() {
-            divider.note_reach(self.peers.shared.view.load().reaches_half());
+        let sight = |holder: &AllocatorId| self.sight(now, holder);
+        let role = division.resolve(now, asked, sight, self.board.borrow().limited());
+        if let Some(divider) = division.allocator() {
+            divider.set_reaches_half(self.peers.shared.view.load().reaches_half());
         }
         let number = division.term().map_or(0, |term| term.number);
         drop(division);
         match &role {
-            DivisionRole::Divides { is_new: true } => {
+            AllocationRole::Allocates { is_new: true } => {
                 let service = &self.service;
                 log::info!("divides limits of service={service} term={number}");
                 self.is_divided.set(true);
                 self.board.borrow_mut().reset_sequences();
                 self.publish(true);
             }
-            DivisionRole::Doubted(term) => {
+            AllocationRole::Unconfirmed(term) => {
                 // One that stops refuses this, though it is there.
                 let request = WorkRequest::LimitSync(vec![self.mark()]);
                 let look = look_for(self.peers.clone(), term.holder.work, request);
                 self.peers.executor.spawn(look).detach();
             }
-            DivisionRole::Divides { .. } | DivisionRole::Elsewhere(_) => {}
+            AllocationRole::Allocates { .. } | AllocationRole::Remote(_) => {}
         }
         role
     }
 
-    fn sight(&self, now: Moment, holder: &DividerId) -> HolderSight {
+    fn sight(&self, now: Moment, holder: &AllocatorId) -> HolderStatus {
         let state = self.peers.state(holder.work);
         let heard = state.heard.get();
         if !state.takes_work(now) {
-            HolderSight::Lost
+            HolderStatus::Unreachable
         } else if !heard.is_zero() && now.saturating_sub(heard) < HEARD_SPAN {
-            HolderSight::Heard
+            HolderStatus::Reachable
         } else {
-            HolderSight::Unknown
+            HolderStatus::Unknown
         }
     }
 
     /// Notes who divides; true if that is new.
     pub(crate) fn note_term(&self, term: &LimitTerm) -> bool {
-        let is_later = self.division.borrow_mut().note_term(term);
+        let is_later = self.division.borrow_mut().observe_term(term);
         if is_later {
             let service = &self.service;
             log::info!(
@@ -200,10 +200,10 @@
         let Some(term) = division.term().cloned() else {
             return;
         };
-        let Some(divider) = division.divider() else {
+        let Some(divider) = division.allocator() else {
             return;
         };
-        let news = divider.take_news(now);
+        let news = divider.take_updates(now);
         let entries = if is_new { divider.entries() } else { news };
         drop(division);
         if !entries.is_empty() || is_new {
@@ -252,7 +252,11 @@
     }
 
     /// Asks for a permit to send a call to a target with a limit, and keeps it for the next such call.
-    pub(crate) async fn ask_permit(&self, target: &TargetSpec, purpose: PermitUse) -> PermitEnd {
+    pub(crate) async fn ask_permit(
+        &self,
+        target: &TargetSpec,
+        purpose: PermitPurpose,
+    ) -> PermitEnd {
         for _ in 0..ASK_TRIES {
             let asked_at = self.peers.shared.now();
             let ask = self.permit_ask(&target.id, target.process_start, purpose);
@@ -289,7 +293,7 @@
             if self.board.borrow().is_open(now, &target.id) {
                 return true;
             }
-            match self.ask_permit(target, PermitUse::Upkeep).await {
+            match self.ask_permit(target, PermitPurpose::Maintenance).await {
                 PermitEnd::Granted => return true,
                 PermitEnd::Wait(span) | PermitEnd::Unknown(span)
                     if self.peers.shared.now() + span < until =>
@@ -320,7 +324,7 @@
     /// Keeps a permit that was asked for at a moment.
     pub(crate) fn add_permit(&self, target: &str, asked_at: Moment) {
         let mut board = self.board.borrow_mut();
-        board.add_permit(target, asked_at + PERMIT_SPAN);
+        board.add_permit(target, asked_at + PERMIT_LIFETIME);
         let metrics = &self.peers.shared.metrics;
         metrics.note_service(&self.service, ServiceEvent::Permit);
     }
@@ -329,7 +333,7 @@
         &self,
         target: &TargetId,
         born: ProcessStart,
-        purpose: PermitUse,
+        purpose: PermitPurpose,
     ) -> PermitAcquire {
         PermitAcquire {
             service: self.service.to_string(),
@@ -344,13 +348,13 @@
     /// Answers an ask for a permit.
     pub(crate) fn grant(&self, ask: &PermitAcquire) -> PermitReply {
         match self.enter(ask.term.as_ref()) {
-            DivisionRole::Divides { .. } => {}
-            DivisionRole::Elsewhere(term) => return PermitReply::Redirect(term),
-            DivisionRole::Doubted(_) => return wait_reply(DOUBT_PAUSE),
+            AllocationRole::Allocates { .. } => {}
+            AllocationRole::Remote(term) => return PermitReply::Redirect(term),
+            AllocationRole::Unconfirmed(_) => return wait_reply(DOUBT_PAUSE),
         }
         let now = self.peers.shared.now();
         let mut division = self.division.borrow_mut();
-        let Some(divider) = division.divider() else {
+        let Some(divider) = division.allocator() else {
             return wait_reply(UNHEARD_PAUSE);
         };
         divider.adopt(
@@ -370,9 +374,9 @@
 }
 
 /// Returns the identity under which this node divides.
-fn own_divider(peers: &PeerLinks) -> DividerId {
+fn own_divider(peers: &PeerLinks) -> AllocatorId {
     let shared = &peers.shared;
-    DividerId {
+    AllocatorId {
         name: shared.settings.name.to_string(),
         process: shared.started,
         work: shared.settings.work,
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -12,7 +12,7 @@
 
 use turnford_adapter::PieceStatus;
 use turnford_fleet::CrashVerdict;
-use turnford_fleet::PermitUse;
+use turnford_fleet::PermitPurpose;
 use turnford_policy::BatchPlan;
 use turnford_policy::BatchScheduler;
 use turnford_policy::BatchSpec;
@@ -142,7 +142,7 @@
         let mut waits = Vec::with_capacity(works.len());
         for mut work in works {
             let verdict = self.verdict(&work);
-            work.is_suspect = verdict != CrashVerdict::Sound;
+            work.is_suspect = verdict != CrashVerdict::Clear;
             let (sender, outcome) = async_channel::bounded(1);
             let ticket = self.pieces.board.borrow_mut().push(work);
             let taker = PieceTaker {
@@ -352,7 +352,7 @@
         let now = self.traffic.shared.now();
         for (ticket, mut work) in plan.pieces {
             let verdict = self.verdict(&work);
-            work.is_suspect = verdict != CrashVerdict::Sound;
+            work.is_suspect = verdict != CrashVerdict::Clear;
             if matches!(verdict, CrashVerdict::Refused(_)) {
                 // A request that left needs no word.
                 let _ = self.pieces.tell(ticket, PieceOutcome::Failed(CRASHES));
@@ -379,7 +379,7 @@
 /// Asks for a permit for one target, and looks again when there is one, or may be.
 async fn ask_piece_permit(cell: PieceCell, target: TargetSpec) {
     let limits = &cell.desk.limits;
-    let end = limits.ask_permit(&target, PermitUse::Work).await;
+    let end = limits.ask_permit(&target, PermitPurpose::Work).await;
     if matches!(end, PermitEnd::Unknown(_)) {
         report_limit(limits, &target);
     }
--- a/packages/turnford-serve/src/placement.rs
+++ b/packages/turnford-serve/src/placement.rs
@@ -13,7 +13,7 @@
 use siphasher::sip::SipHasher13;
 
 use turnford_fleet::CrashVerdict;
-use turnford_fleet::TurnAsk;
+use turnford_fleet::QueuedRequest;
 use turnford_policy::PlacementRequest;
 use turnford_policy::PromptAffinity;
 use turnford_policy::PromptSegment;
@@ -89,7 +89,7 @@
         deadline: record.deadline,
     };
     let turn = turn_ask(traffic, record, wish);
-    let held_until = turn.begun + HOLD_SPAN;
+    let held_until = turn.requested_at + HOLD_SPAN;
     let mut is_noted = false;
     loop {
         let line_place = match find_turn(traffic, record, desk, wish).await {
@@ -106,7 +106,7 @@
                 placed.turn = line_place;
                 return PlaceEnd::Placed(placed);
             }
-            FoundPlace::Later(_) if traffic.shared.now() > turn.latest => {
+            FoundPlace::Later(_) if traffic.shared.now() > turn.deadline => {
                 return PlaceEnd::Full(RETRY_AFTER);
             }
             FoundPlace::Later(span) => {
@@ -132,16 +132,16 @@
 }
 
 /// Returns the request's claim to a turn where all targets have limits.
-fn turn_ask(traffic: &Traffic, record: &RequestRecord, wish: &PlaceWish<'_>) -> TurnAsk {
+fn turn_ask(traffic: &Traffic, record: &RequestRecord, wish: &PlaceWish<'_>) -> QueuedRequest {
     let now = traffic.shared.now();
     let mut hasher = SipHasher13::new();
     hasher.write(record.facts.attempt.as_bytes());
     let latest = record.serve_by().saturating_sub(record.last_span.get());
-    TurnAsk {
+    QueuedRequest {
         number: hasher.finish(),
         ranks: (record.rank, record.route.rank),
-        begun: now,
-        latest: if wish.may_wait { latest } else { now },
+        requested_at: now,
+        deadline: if wish.may_wait { latest } else { now },
     }
 }
 
@@ -165,11 +165,11 @@
     record: &RequestRecord,
     desk: &Rc<ServiceDesk>,
     need: &PlacementRequest,
-    turn: &TurnAsk,
+    turn: &QueuedRequest,
 ) -> FoundPlace {
     let digest = record.digest.get();
     let now = traffic.shared.now();
-    let is_sound = traffic.crashes.verdict(now, &digest) == CrashVerdict::Sound;
+    let is_sound = traffic.crashes.verdict(now, &digest) == CrashVerdict::Clear;
     if is_sound && desk.spec.borrow().engine.is_none() {
         if let Ok(target) = choose_limited(traffic, desk, &need.tried).await {
             return target.map_or(FoundPlace::Nowhere, |target| {
@@ -208,7 +208,7 @@
     desk: &Rc<ServiceDesk>,
     digest: RequestDigest,
     need: &PlacementRequest,
-    turn: &TurnAsk,
+    turn: &QueuedRequest,
 ) -> FoundPlace {
     let (place, is_alone) = match place_checked(traffic, desk, digest, need, turn) {
         CheckedPlace::Found { place, is_alone } => (place, is_alone),
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use turnford_fleet::DivisionRole;
-use turnford_fleet::TurnAsk;
+use turnford_fleet::AllocationRole;
+use turnford_fleet::QueuedRequest;
 use turnford_policy::Moment;
 use turnford_policy::PlacementRequest;
 use turnford_policy::PromptSegment;
@@ -39,7 +39,7 @@
     desk: &Rc<ServiceDesk>,
     digest: RequestDigest,
     need: &PlacementRequest,
-    turn: &TurnAsk,
+    turn: &QueuedRequest,
     placer: SocketAddr,
 ) -> Option<FoundPlace> {
     let now = traffic.shared.now();
@@ -56,7 +56,7 @@
     now: Moment,
     digest: RequestDigest,
     need: &PlacementRequest,
-    turn: &TurnAsk,
+    turn: &QueuedRequest,
 ) -> PlaceRequest {
     let millis = |until: Moment| {
         let left = until.saturating_sub(now).as_millis();
@@ -85,8 +85,8 @@
         entry: QueueEntry {
             number: turn.number,
             ranks: turn.ranks,
-            waited_ms: short(now.saturating_sub(turn.begun)),
-            send_deadline_ms: short(turn.latest.saturating_sub(now)),
+            waited_ms: short(now.saturating_sub(turn.requested_at)),
+            send_deadline_ms: short(turn.deadline.saturating_sub(now)),
         },
     }
 }
@@ -152,11 +152,11 @@
     };
     if desk.limits.board.borrow().has_limits() {
         match desk.limits.enter(ask.term.as_ref()) {
-            DivisionRole::Divides { .. } => {}
-            DivisionRole::Elsewhere(term) => {
+            AllocationRole::Allocates { .. } => {}
+            AllocationRole::Remote(term) => {
                 return WorkReply::Placed(PlaceReply::Redirect(term));
             }
-            DivisionRole::Doubted(_) => {
+            AllocationRole::Unconfirmed(_) => {
                 let wait_ms = short_millis(DOUBT_PAUSE);
                 return WorkReply::Placed(PlaceReply::Wait { wait_ms });
             }
@@ -198,13 +198,13 @@
     }
 }
 
-fn asked_turn(ask: &PlaceRequest, now: Moment) -> TurnAsk {
+fn asked_turn(ask: &PlaceRequest, now: Moment) -> QueuedRequest {
     let span = |millis: u32| Duration::from_millis(u64::from(millis));
-    TurnAsk {
+    QueuedRequest {
         number: ask.entry.number,
         ranks: ask.entry.ranks,
-        begun: now.saturating_sub(span(ask.entry.waited_ms)),
-        latest: now + span(ask.entry.send_deadline_ms),
+        requested_at: now.saturating_sub(span(ask.entry.waited_ms)),
+        deadline: now + span(ask.entry.send_deadline_ms),
     }
 }
 
--- a/packages/turnford-serve/src/shared.rs
+++ b/packages/turnford-serve/src/shared.rs
@@ -12,7 +12,7 @@
 use async_channel::Sender;
 
 use turnford_config::ServeSettings;
-use turnford_fleet::is_settled;
+use turnford_fleet::is_duty_eligible;
 use turnford_policy::CallKind;
 use turnford_policy::Clock;
 use turnford_policy::Moment;
@@ -137,7 +137,9 @@
         let others = members.map(|member| (&*member.name, self.age_of(member.started)));
         let ages: Vec<(&str, Duration)> = others.chain([own]).collect();
         let longest = ages.iter().map(|(_, age)| *age).max().unwrap_or_default();
-        let settled = ages.iter().filter(|(_, age)| is_settled(*age, longest));
+        let settled = ages
+            .iter()
+            .filter(|(_, age)| is_duty_eligible(*age, longest));
         settled.map(|(name, _)| *name).collect()
     }
 
--- a/packages/turnford-serve/src/trial.rs
+++ b/packages/turnford-serve/src/trial.rs
@@ -6,8 +6,8 @@
 use async_io::Timer;
 
 use turnford_fleet::CrashVerdict;
-use turnford_fleet::TrialEntry;
-use turnford_fleet::TurnAsk;
+use turnford_fleet::QueuedRequest;
+use turnford_fleet::TrialAdmission;
 use turnford_policy::PlacementRequest;
 use turnford_policy::RequestDigest;
 use turnford_policy::ResultCode;
@@ -89,7 +89,7 @@
     loop {
         let now = traffic.shared.now();
         match traffic.crashes.verdict(now, &digest) {
-            CrashVerdict::Sound => return Ok(None),
+            CrashVerdict::Clear => return Ok(None),
             CrashVerdict::Refused(until) => {
                 let back_after = until.saturating_sub(now);
                 return Err(SuspectRefusal::crashes_targets(back_after));
@@ -112,21 +112,21 @@
     desk: &ServiceDesk,
     digest: RequestDigest,
     need: &PlacementRequest,
-    turn: &TurnAsk,
+    turn: &QueuedRequest,
 ) -> CheckedPlace {
     let now = traffic.shared.now();
     let verdict = traffic.crashes.verdict(now, &digest);
     let mut trials = desk.trials.borrow_mut();
-    let (is_alone, taken) = match trials.enter(now, &digest, verdict) {
-        TrialEntry::Freely => {
+    let (is_alone, taken) = match trials.admit(now, &digest, verdict) {
+        TrialAdmission::Unrestricted => {
             return CheckedPlace::Found {
                 place: place_limited(traffic, desk, need, turn),
                 is_alone: false,
             }
         }
-        TrialEntry::Refused(until) => return CheckedPlace::Refused(until.saturating_sub(now)),
-        TrialEntry::Held => return CheckedPlace::Held,
-        TrialEntry::OnTrial { is_alone, taken } => (is_alone, taken),
+        TrialAdmission::Refused(until) => return CheckedPlace::Refused(until.saturating_sub(now)),
+        TrialAdmission::Held => return CheckedPlace::Held,
+        TrialAdmission::OnTrial { is_alone, taken } => (is_alone, taken),
     };
     let is_any_taken = !taken.is_empty();
     let mut need = need.clone();
--- a/packages/turnford-wire/examples/limit_cost.rs
+++ b/packages/turnford-wire/examples/limit_cost.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use turnford_fleet::DividerId;
-use turnford_fleet::LimitDivider;
+use turnford_fleet::AllocatorId;
+use turnford_fleet::LimitAllocator;
 use turnford_fleet::LimitEntry;
 use turnford_fleet::LimitTerm;
-use turnford_fleet::PermitUse;
-use turnford_fleet::TurnAsk;
+use turnford_fleet::PermitPurpose;
+use turnford_fleet::QueuedRequest;
 use turnford_policy::LimitState;
 use turnford_policy::TargetId;
 use turnford_wire::encode_frame;
@@ -29,7 +29,7 @@
     let targets: Vec<TargetId> = (0..TARGETS)
         .map(|number| format!("i-{number:010}").into())
         .collect();
-    let mut divider = LimitDivider::new(Duration::ZERO);
+    let mut divider = LimitAllocator::new(Duration::ZERO);
     for target in &targets {
         divider.adopt(Duration::ZERO, target, 1, LimitState::Limited(4.0));
     }
@@ -38,7 +38,7 @@
     for number in 0..ASKS {
         let now = Duration::from_micros(100 * u64::from(number));
         let target = &targets[number as usize % TARGETS];
-        granted += u32::from(divider.take(now, target, PermitUse::Work).is_ok());
+        granted += u32::from(divider.take(now, target, PermitPurpose::Work).is_ok());
     }
     println!(
         "permit: {:?} an ask, {granted} granted",
@@ -47,13 +47,13 @@
     let begun = Instant::now();
     for number in 0..ASKS / 100 {
         let now = Duration::from_secs(20) + Duration::from_micros(100 * u64::from(number));
-        let ask = TurnAsk {
+        let ask = QueuedRequest {
             number: u64::from(number),
             ranks: (1, 1),
-            begun: now,
-            latest: now + Duration::from_secs(4),
+            requested_at: now,
+            deadline: now + Duration::from_secs(4),
         };
-        divider.ask_turn(now, &ask, &targets);
+        divider.request_permit(now, &ask, &targets);
     }
     let (_, waiting) = divider.load(Duration::from_secs(20));
     println!(
@@ -67,7 +67,7 @@
     let service = "writers".to_owned();
     let term = LimitTerm {
         number: 12,
-        holder: DividerId {
+        holder: AllocatorId {
             name: "front-piassa-3".to_owned(),
             process: 1_796_279_614_729,
             work: "10.3.0.12:7742".parse().expect("an address"),
@@ -79,7 +79,7 @@
         target: "i-91b9f41feb".to_owned(),
         process_start: 1_796_279_614_729,
         state: LimitState::Limited(1.0),
-        purpose: PermitUse::Work,
+        purpose: PermitPurpose::Work,
     });
     let reply = WorkReply::Permit(PermitReply::Wait { wait_ms: 400 });
     let mark = LimitDigest {
--- a/packages/turnford-wire/src/limit.rs
+++ b/packages/turnford-wire/src/limit.rs
@@ -2,7 +2,7 @@
 
 use turnford_fleet::LimitEntry;
 use turnford_fleet::LimitTerm;
-use turnford_fleet::PermitUse;
+use turnford_fleet::PermitPurpose;
 use turnford_policy::CallRate;
 use turnford_policy::LimitState;
 
@@ -50,7 +50,7 @@
     /// What the sender knows of its limit.
     pub state: LimitState,
     /// What the call is for.
-    pub purpose: PermitUse,
+    pub purpose: PermitPurpose,
 }
 
 /// Answer to that.
--- a/packages/turnford-wire/src/message.rs
+++ b/packages/turnford-wire/src/message.rs
@@ -1,9 +1,9 @@
 //! What nodes say to each other.
 
-use turnford_fleet::ClaimAsk;
+use turnford_fleet::ClaimRequest;
 use turnford_fleet::ClaimVerdict;
 use turnford_fleet::ConfigChange;
-use turnford_fleet::ConfigMark;
+use turnford_fleet::ConfigDigest;
 use turnford_fleet::LenderStamp;
 use turnford_fleet::LoadDigest;
 use turnford_fleet::MemberUpdate;
@@ -19,7 +19,7 @@
         /// News, the sender first.
         gossip: Vec<MemberUpdate>,
         /// Configuration of the sender.
-        digest: ConfigMark,
+        digest: ConfigDigest,
         /// Sum over the members that the sender thinks alive.
         members: u64,
     },
@@ -48,7 +48,7 @@
         digest: LoadDigest,
     },
     /// Ask about claims, to the node that commits their range.
-    Claim(ClaimAsk),
+    Claim(ClaimRequest),
     /// Ask for shares of accounts' limits, to the node that lends them. Without demands it only
     /// shows that the sender is there.
     Share {
@@ -71,7 +71,7 @@
         /// News, the answering node first.
         gossip: Vec<MemberUpdate>,
         /// Its configuration.
-        digest: ConfigMark,
+        digest: ConfigDigest,
         /// Sum over the members that it thinks alive.
         members: u64,
     },
--- a/packages/turnford-wire/src/route.rs
+++ b/packages/turnford-wire/src/route.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use turnford_fleet::CrashNews;
+use turnford_fleet::CrashUpdate;
 use turnford_fleet::LimitTerm;
 use turnford_fleet::MemberUpdate;
 use turnford_policy::StorePosition;
@@ -379,7 +379,7 @@
     /// Which target should take this request?
     Place(PlaceRequest),
     /// What happened to requests under which targets crashed.
-    Crashes(Vec<CrashNews>),
+    Crashes(Vec<CrashUpdate>),
     /// Which crashes do you know that I don't?
     CrashSync {
         /// Sum over those that the sender knows.
@@ -448,7 +448,7 @@
         /// Sum over those that the answering node knows.
         sum: u64,
         /// Those, where the sums differ.
-        updates: Vec<CrashNews>,
+        updates: Vec<CrashUpdate>,
     },
     /// To an ask for a permit.
     Permit(PermitReply),
--- a/packages/turnford-wire/tests/frame_bounds.rs
+++ b/packages/turnford-wire/tests/frame_bounds.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use turnford_fleet::ClaimAsk;
 use turnford_fleet::ClaimOwner;
-use turnford_fleet::ConfigMark;
+use turnford_fleet::ClaimRequest;
+use turnford_fleet::ConfigDigest;
 use turnford_fleet::LoadDigest;
 use turnford_fleet::Rumor;
 use turnford_fleet::ServiceLoad;
@@ -31,7 +31,7 @@
         any::<u64>().prop_map(|after| PeerRequest::ConfigPull { after }),
         name.prop_map(|after| PeerRequest::MemberPull { after }),
         (any::<[u8; 16]>(), any::<u64>(), any::<u64>()).prop_map(|(key, incarnation, sequence)| {
-            PeerRequest::Claim(ClaimAsk::Take(
+            PeerRequest::Claim(ClaimRequest::Acquire(
                 key,
                 ClaimOwner {
                     incarnation,
@@ -60,7 +60,7 @@
                 PeerRequest::Digest {
                     node,
                     digest: LoadDigest {
-                        number: 1,
+                        sequence: 1,
                         incarnation: 2,
                         services,
                     },
@@ -98,7 +98,7 @@
 
 #[test]
 fn other_version() {
-    let mark = ConfigMark::default();
+    let mark = ConfigDigest::default();
     let ping = PeerRequest::Ping {
         gossip: Vec::new(),
         digest: mark,
--- a/packages/turnford/src/operator.rs
+++ b/packages/turnford/src/operator.rs
@@ -105,7 +105,7 @@
     }
     let mark = format!("{:032x}", rand::random::<u128>());
     let change = EnvelopeChange {
-        mark: mark.clone(),
+        write_id: mark.clone(),
         author: request.author.to_owned(),
         action: if request.text.is_some() {
             "apply"
@@ -142,10 +142,10 @@
         let Ok((version, envelope)) = read_envelope(objects, key).await else {
             continue;
         };
-        if envelope.has_mark(mark) {
+        if envelope.has_write(mark) {
             return ChangeOutcome::Accepted(version);
         }
-        if version != before && !envelope.is_cut() {
+        if version != before && !envelope.is_truncated() {
             // Another change replaced the version that the lost write was bound to.
             return ChangeOutcome::Conflict {
                 expected: before,
