--- a/packages/turnford-fleet/src/crash.rs
+++ b/packages/turnford-fleet/src/crash.rs
@@ -18,11 +18,11 @@
 
 use crate::crash_entry::CrashEntry;
 use crate::crash_entry::CrashRecord;
-use crate::crash_news::CrashEvent;
-use crate::crash_news::CrashPart;
-use crate::crash_news::CrashUpdate;
-use crate::crash_news::TargetProcess;
-use crate::crash_news::BEGUN_POINTS;
+use crate::crash_update::CrashEvent;
+use crate::crash_update::CrashPart;
+use crate::crash_update::CrashUpdate;
+use crate::crash_update::TargetProcess;
+use crate::crash_update::BEGUN_POINTS;
 use crate::Moment;
 
 /// Points after which a request is refused: two crashes on trial that it had begun. One is not
--- a/packages/turnford-fleet/src/crash_entry.rs
+++ b/packages/turnford-fleet/src/crash_entry.rs
@@ -4,10 +4,10 @@
 
 use turnford_policy::RequestDigest;
 
-use crate::crash_news::CrashEvent;
-use crate::crash_news::CrashPart;
-use crate::crash_news::CrashUpdate;
-use crate::crash_news::TargetProcess;
+use crate::crash_update::CrashEvent;
+use crate::crash_update::CrashPart;
+use crate::crash_update::CrashUpdate;
+use crate::crash_update::TargetProcess;
 use crate::Moment;
 
 /// A crash of a target while it ran a request.
--- a/packages/turnford-fleet/src/limit_divider.rs
+++ b/packages/turnford-fleet/src/limit_allocator.rs
@@ -11,7 +11,7 @@
 
 use crate::limit_bucket::LimitBucket;
 use crate::limit_record::LimitRecord;
-use crate::turn_line::CallSupply;
+use crate::permit_queue::CallSupply;
 use crate::Moment;
 use crate::PermitDecision;
 use crate::PermitPurpose;
