--- a/packages/turnford-policy/src/route/config.rs
+++ b/packages/turnford-policy/src/route/config.rs
@@ -140,7 +140,7 @@
     /// Requests that run at a time.
     pub slots: u32,
     /// Memory for prompts and answers, in tokens.
-    pub kv_cache_tokens: u64,
+    pub cache_tokens: u64,
 }
 
 /// What one target of a stage can do.
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -160,7 +160,7 @@
         let mut engines = desk.engines.borrow_mut();
         engines.retain_listed(&board);
         if let Some(engine) = &desk.spec.borrow().engine {
-            engines.set_capacity(engine.kv_cache_tokens);
+            engines.set_capacity(engine.cache_tokens);
         }
         drop(board);
         desk.refresh_cells();
