--- a/packages/turnford-policy/src/route/batch.rs
+++ b/packages/turnford-policy/src/route/batch.rs
@@ -9,7 +9,7 @@
 use crate::Moment;
 use crate::TargetId;
 
-use super::room::RoomLedger;
+use super::capacity::RoomLedger;
 use super::target_calls::TargetCalls;
 use super::BatchPlan;
 use super::BatchSpec;
--- a/packages/turnford-policy/src/route/list.rs
+++ b/packages/turnford-policy/src/route/list.rs
@@ -9,10 +9,10 @@
 use crate::Moment;
 use crate::TargetId;
 
-use super::gone::GoneLog;
-use super::target_news::ExpiredTargets;
-use super::target_news::ListedTarget;
-use super::target_news::TargetUpdate;
+use super::ended_log::GoneLog;
+use super::target_update::ExpiredTargets;
+use super::target_update::ListedTarget;
+use super::target_update::TargetUpdate;
 use super::StorePosition;
 use super::TargetSpec;
 
