--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -20,9 +20,9 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::limits::PLACE_LIMIT;
-use crate::progress::PlacerLink;
+use crate::progress::PlacerHandle;
 use crate::record::RequestRecord;
 use crate::stages::forecast_alone;
 use crate::stages::least_span;
@@ -31,7 +31,7 @@
 /// An admitted request's stages; their end is told when this is dropped.
 pub(crate) struct AdmittedFlow {
     /// Who admitted it, `None` where nobody counts it.
-    pub(crate) admitted: Option<(PlacerLink, FlowTicket)>,
+    pub(crate) admitted: Option<(PlacerHandle, FlowTicket)>,
     /// When each stage that is not done is expected to be; `None` for the others.
     expected: RefCell<Vec<Option<Moment>>>,
 }
@@ -39,7 +39,7 @@
 impl AdmittedFlow {
     fn new(
         now: Moment,
-        admitted: Option<(PlacerLink, FlowTicket)>,
+        admitted: Option<(PlacerHandle, FlowTicket)>,
         forecast: &FlowForecast,
     ) -> Self {
         let flow = Self {
@@ -106,7 +106,7 @@
 pub(crate) async fn admit_flow(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
 ) -> Result<AdmittedFlow, FlowRefusal> {
     let need = flow_need(traffic, record);
     let now = traffic.shared.now();
@@ -130,7 +130,7 @@
         record.note(format_args!("admitted here: the placer gave no answer"));
         return admit_alone(traffic, record, need.time_budget);
     };
-    let placer = PlacerLink {
+    let placer = PlacerHandle {
         traffic: traffic.clone(),
         desk: desk.clone(),
         address,
@@ -182,19 +182,19 @@
 
 fn admit_here(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     need: &FlowRequest,
     patience: Duration,
 ) -> Result<(FlowTicket, FlowForecast), FlowRefusal> {
     let now = traffic.shared.now();
     check_limits(desk, now, need, patience)?;
-    let rate_of = |service: &str| traffic.desk(service)?.stage_rate(now);
+    let rate_of = |service: &str| traffic.service(service)?.stage_rate(now);
     desk.flow.borrow_mut().admit(now, need, rate_of)
 }
 
 /// Admits a request if the limits of its own targets leave a call for it in time.
 fn check_limits(
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     now: Moment,
     need: &FlowRequest,
     patience: Duration,
@@ -204,7 +204,7 @@
     let Some(divider) = division.divider().filter(|_| has_limits) else {
         return Ok(());
     };
-    let targets = desk.board.borrow().untried_targets(&[]);
+    let targets = desk.targets.borrow().untried_targets(&[]);
     let coming = desk.flow.borrow().admitted_before(need.ranks);
     let turn = divider.forecast(now, need.ranks, coming, &targets);
     let lateness = turn.map_or(Duration::ZERO, |turn| turn.saturating_sub(patience));
@@ -224,7 +224,7 @@
     let last = record.last_span.get();
     let now = traffic.shared.now();
     let latest = record.serve_by().saturating_sub(now + last);
-    let due = record.begun + record.route.latency_objective;
+    let due = record.started_at + record.route.latency_objective;
     let prompt = due.saturating_sub(now + last).min(latest);
     if least_span(traffic, record, |_| true) <= prompt {
         prompt
@@ -255,7 +255,7 @@
 
 fn admit_ask(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     need: &FlowRequest,
     patience: Duration,
 ) -> AdmitRequest {
@@ -279,7 +279,7 @@
 
 /// Answers a request to admit.
 pub(crate) fn answer_admit(traffic: &Rc<Traffic>, ask: AdmitRequest) -> WorkReply {
-    let Some(desk) = traffic.desk(&ask.service) else {
+    let Some(desk) = traffic.service(&ask.service) else {
         return WorkReply::Refused;
     };
     let stages = ask.stages.into_iter().map(|stage| FlowStage {
@@ -310,7 +310,7 @@
     ticket: FlowTicket,
     is_late: bool,
 ) -> WorkReply {
-    let Some(desk) = traffic.desk(service) else {
+    let Some(desk) = traffic.service(service) else {
         return WorkReply::Refused;
     };
     let forecast = forecast_here(traffic, &desk, ticket, is_late);
@@ -320,12 +320,12 @@
 /// Forecasts what is left of the stages of a request that this node admitted.
 pub(crate) fn forecast_here(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     ticket: FlowTicket,
     is_late: bool,
 ) -> Option<FlowForecast> {
     let now = traffic.shared.now();
-    let rate_of = |service: &str| traffic.desk(service)?.stage_rate(now);
+    let rate_of = |service: &str| traffic.service(service)?.stage_rate(now);
     desk.flow.borrow().forecast(ticket, is_late, rate_of)
 }
 
--- a/packages/turnford-serve/src/answer.rs
+++ b/packages/turnford-serve/src/answer.rs
@@ -26,56 +26,56 @@
 
 /// Why an answer is cut towards the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct AnswerCut;
+pub(crate) struct BodyTruncated;
 
-impl fmt::Display for AnswerCut {
+impl fmt::Display for BodyTruncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer broke off")
     }
 }
 
-impl std::error::Error for AnswerCut {}
+impl std::error::Error for BodyTruncated {}
 
 /// Body of an answer.
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     /// The whole body.
     Whole(Option<Bytes>),
     /// A body that a task passes on as it comes. Dropping the body ends the task.
     Relayed {
-        chunks: Pin<Box<Receiver<Result<Bytes, AnswerCut>>>>,
+        chunks: Pin<Box<Receiver<Result<Bytes, BodyTruncated>>>>,
         _task: Task<()>,
     },
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Makes a body of bytes that are all there.
     pub(crate) fn whole(bytes: Bytes) -> Self {
-        AnswerBody::Whole(Some(bytes))
+        ResponseBody::Whole(Some(bytes))
     }
 
     /// Makes a body that a task writes into a channel.
-    pub(crate) fn relayed(chunks: Receiver<Result<Bytes, AnswerCut>>, task: Task<()>) -> Self {
-        AnswerBody::Relayed {
+    pub(crate) fn relayed(chunks: Receiver<Result<Bytes, BodyTruncated>>, task: Task<()>) -> Self {
+        ResponseBody::Relayed {
             chunks: Box::pin(chunks),
             _task: task,
         }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = BodyTruncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Whole(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            AnswerBody::Relayed { chunks, .. } => {
+            ResponseBody::Relayed { chunks, .. } => {
                 let chunk = chunks.as_mut().poll_next(context);
                 chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
@@ -84,27 +84,27 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            AnswerBody::Relayed { .. } => false,
+            ResponseBody::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            ResponseBody::Relayed { .. } => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerBody::Relayed { .. } => SizeHint::default(),
+            ResponseBody::Relayed { .. } => SizeHint::default(),
         }
     }
 }
 
 /// Returns the answer of a target with a body for the client.
-pub(crate) fn passed_answer(parts: &Parts, body: AnswerBody) -> Response<AnswerBody> {
+pub(crate) fn proxied_response(parts: &Parts, body: ResponseBody) -> Response<ResponseBody> {
     let mut answer = Response::new(body);
     *answer.status_mut() = parts.status;
     *answer.headers_mut() = client_headers(parts);
-    if matches!(answer.body(), AnswerBody::Whole(_)) {
+    if matches!(answer.body(), ResponseBody::Whole(_)) {
         // The library writes the length of the bytes that are really there.
         answer.headers_mut().remove(http::header::CONTENT_LENGTH);
     }
@@ -113,7 +113,7 @@
 
 /// Whether a refused or failed request ran, as the client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RanState {
+pub(crate) enum RanStatus {
     /// Nothing ran, and nothing will.
     No,
     /// It may have run.
@@ -121,16 +121,16 @@
 }
 
 /// Returns an answer of the node's own.
-pub(crate) fn own_answer(
+pub(crate) fn error_response(
     attempt: &str,
     code: ResultCode,
-    ran: RanState,
+    ran: RanStatus,
     reason: &str,
     retry_after: Option<Duration>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let ran_word = match ran {
-        RanState::No => "no",
-        RanState::Unknown => "unknown",
+        RanStatus::No => "no",
+        RanStatus::Unknown => "unknown",
     };
     let body = json!({
         "code": code.number(),
@@ -138,7 +138,7 @@
         "ran": ran_word,
         "message": reason,
     });
-    let mut answer = Response::new(AnswerBody::whole(Bytes::from(body.to_string())));
+    let mut answer = Response::new(ResponseBody::whole(Bytes::from(body.to_string())));
     let status = StatusCode::from_u16(code.http_status());
     *answer.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     *answer.headers_mut() = refusal_headers(attempt, retry_after);
--- a/packages/turnford-serve/src/batch.rs
+++ b/packages/turnford-serve/src/batch.rs
@@ -17,7 +17,7 @@
 use turnford_policy::TargetSpec;
 
 use crate::call::call_target;
-use crate::call::CallFault;
+use crate::call::CallError;
 use crate::call::CallPurpose;
 use crate::crash_check::check_pieces;
 use crate::metrics::ServiceEvent;
@@ -77,7 +77,7 @@
 ) -> Result<StageReport, String> {
     let host = target.address.to_string();
     let request = encode_report(&host, &target.id).map_err(|problem| problem.to_string())?;
-    let purpose = CallPurpose::Upkeep;
+    let purpose = CallPurpose::Maintenance;
     let call = call_target(&cell.traffic, &cell.desk, target, request, purpose, limit);
     let read = async {
         let answer = call.await?;
@@ -85,7 +85,7 @@
     };
     let late = async {
         Timer::after(limit).await;
-        Err(CallFault::Unknown("no whole report in time"))
+        Err(CallError::Unknown("no whole report in time"))
     };
     let (_, body) = read.or(late).await.map_err(|fault| format!("{fault:?}"))?;
     decode_report(&body).map_err(|problem| problem.to_string())
@@ -95,7 +95,7 @@
 pub(crate) async fn run_batch(cell: PieceCell, plan: BatchPlan) {
     let id = plan.target.clone();
     let reserved = plan.result_bytes();
-    let target = cell.desk.board.borrow().get(&id).cloned();
+    let target = cell.desk.targets.borrow().get(&id).cloned();
     let results = match target {
         Some(target) => run_call(&cell, &target, plan).await,
         None => {
@@ -131,7 +131,7 @@
         }
         let waited = if reads { FETCH_SPAN } else { Duration::ZERO };
         watch_call(cell, target, &plan, span, waited).await;
-        Err(CallFault::Broke("the target is silent"))
+        Err(CallError::Disconnected("the target is silent"))
     };
     let ended = call.or(meanwhile);
     match ended.await {
@@ -151,7 +151,7 @@
             made
         }
         Err(fault) => {
-            if matches!(fault, CallFault::Broke(_)) {
+            if matches!(fault, CallError::Disconnected(_)) {
                 // Before its pieces go to another target, it has to be known whether they crash it.
                 check_pieces(traffic, &cell.desk, target, &plan).await;
             }
@@ -170,7 +170,7 @@
     if last_fault.is_some_and(|at| now.saturating_sub(at) < UNSURE_SPAN) {
         return false;
     }
-    let board = cell.desk.board.borrow();
+    let board = cell.desk.targets.borrow();
     let slowness = board.measured_slowness(now, &target.id);
     slowness.is_some_and(|slowness| slowness < CALM_FACTOR)
 }
@@ -198,7 +198,7 @@
 /// Asks a target whether it is there.
 async fn is_silent(cell: &PieceCell, target: &TargetSpec) -> bool {
     let now = cell.traffic.shared.now();
-    let rests = cell.desk.board.borrow().backoff_until(now, &target.id);
+    let rests = cell.desk.targets.borrow().backoff_until(now, &target.id);
     let limit = cell.desk.limits.board.borrow().state(&target.id);
     if rests.is_some() || limit.needs_permit() {
         // It wants no question either; the call goes on.
@@ -241,7 +241,7 @@
 fn note_speed(cell: &PieceCell, target: &TargetSpec, took: Duration, span: Duration) {
     let now = cell.traffic.shared.now();
     let sample = took.as_secs_f64() / span.as_secs_f64().max(0.001);
-    let mut board = cell.desk.board.borrow_mut();
+    let mut board = cell.desk.targets.borrow_mut();
     board.record_slowness(now, &target.id, sample);
 }
 
@@ -254,20 +254,20 @@
     made.collect()
 }
 
-fn note_fault(cell: &PieceCell, target: &TargetSpec, plan: BatchPlan, fault: &CallFault) {
+fn note_fault(cell: &PieceCell, target: &TargetSpec, plan: BatchPlan, fault: &CallError) {
     let traffic = &cell.traffic;
     let now = traffic.shared.now();
     let count = plan.pieces.len();
     match fault {
-        CallFault::NotSent(reason) | CallFault::Closed(reason) => {
+        CallError::NotSent(reason) | CallError::Unavailable(reason) => {
             cell.give_back(plan, reason, false);
         }
-        CallFault::Limited => {
+        CallError::Limited => {
             let metrics = &traffic.shared.metrics;
             metrics.note_service(&target.service, ServiceEvent::Limited);
             cell.give_back(plan, "the target's limit is used up", false);
         }
-        CallFault::NotRun(status) => {
+        CallError::NotRun(status) => {
             log::debug!("target={} turned {count} pieces away: {status}", target.id);
             cell.pieces
                 .board
@@ -275,11 +275,11 @@
                 .record_refusal(now, &target.id);
             cell.give_back(plan, "the target turned it away", false);
         }
-        CallFault::Broke(reason) | CallFault::Unknown(reason) => {
+        CallError::Disconnected(reason) | CallError::Unknown(reason) => {
             log::info!("target={} pieces={count} no result: {reason}", target.id);
             let metrics = &traffic.shared.metrics;
             metrics.note_service(&target.service, ServiceEvent::Broken);
-            let mut board = cell.desk.board.borrow_mut();
+            let mut board = cell.desk.targets.borrow_mut();
             board.record_failure(&target.id);
             board.record_refusal(now, &target.id);
             drop(board);
@@ -301,7 +301,7 @@
     target: &TargetSpec,
     plan: &BatchPlan,
     limit: Duration,
-) -> Result<Vec<PieceStatus>, CallFault> {
+) -> Result<Vec<PieceStatus>, CallError> {
     let now = cell.traffic.shared.now();
     let orders = plan.pieces.iter().map(|(_, work)| PieceItem {
         attempt: &work.attempt,
@@ -315,7 +315,7 @@
     let host = target.address.to_string();
     let request = encode_pieces(&host, &target.id, &orders).map_err(|problem| {
         log::error!("target={} call of pieces: {problem}", target.id);
-        CallFault::NotSent("the call can't be written down")
+        CallError::NotSent("the call can't be written down")
     })?;
     let exchange = async {
         let purpose = CallPurpose::Pieces;
@@ -325,14 +325,14 @@
     };
     let late = async {
         Timer::after(limit).await;
-        Err(CallFault::Unknown("no whole answer in time"))
+        Err(CallError::Unknown("no whole answer in time"))
     };
     let (parts, body) = exchange.or(late).await?;
     if !parts.status.is_success() {
-        return Err(CallFault::Unknown("the target failed at the call"));
+        return Err(CallError::Unknown("the target failed at the call"));
     }
     decode_pieces(&body, orders.len()).map_err(|problem| {
         log::warn!("target={} answer refused: {problem}", target.id);
-        CallFault::Unknown("the answer makes no sense")
+        CallError::Unknown("the answer makes no sense")
     })
 }
--- a/packages/turnford-serve/src/call.rs
+++ b/packages/turnford-serve/src/call.rs
@@ -21,11 +21,11 @@
 use turnford_policy::TargetSpec;
 
 use crate::desk::FlightGuard;
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::metrics::ServiceEvent;
 use crate::traffic::Traffic;
 use crate::wait::wait_until;
-use crate::words::hear_words;
+use crate::words::process_signals;
 
 /// Longest time to open a connection to a target. One lost opening packet is sent again after a
 /// second, and another target is faster than that.
@@ -45,17 +45,17 @@
 
 /// Why a call gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum CallFault {
+pub(crate) enum CallError {
     /// No byte was handed over.
     NotSent(&'static str),
     /// The same, since the target wants no such call of this node now.
-    Closed(&'static str),
+    Unavailable(&'static str),
     /// The same, since the target's limit for all nodes lets no further call through.
     Limited,
     /// The target says that it did not run the request.
     NotRun(StatusCode),
     /// The request was handed over, and its connection ended or its target fell silent.
-    Broke(&'static str),
+    Disconnected(&'static str),
     /// The request was handed over, and what became of it is not known.
     Unknown(&'static str),
 }
@@ -68,20 +68,20 @@
     /// Pieces of stages.
     Pieces,
     /// What goes on with work that the target has, or asks how it is: no new work.
-    Upkeep,
+    Maintenance,
 }
 
 impl<'a> CallPurpose<'a> {
     fn attempt(self) -> Option<&'a str> {
         match self {
             CallPurpose::Request(attempt) => Some(attempt),
-            CallPurpose::Pieces | CallPurpose::Upkeep => None,
+            CallPurpose::Pieces | CallPurpose::Maintenance => None,
         }
     }
 }
 
 /// A target's answer whose body is still to come.
-pub(crate) struct TargetAnswer {
+pub(crate) struct TargetResponse {
     pub(crate) parts: Parts,
     pub(crate) facts: ResponseAttributes,
     /// Whether it says that its target leaves.
@@ -91,15 +91,15 @@
     _flight: FlightGuard,
 }
 
-impl TargetAnswer {
+impl TargetResponse {
     /// Reads the whole body and lays the connection down for reuse.
     pub(crate) async fn collect(
         self,
         traffic: &Traffic,
         limit: usize,
-    ) -> Result<(Parts, Bytes), CallFault> {
+    ) -> Result<(Parts, Bytes), CallError> {
         let body = Limited::new(self.body, limit).collect().await;
-        let body = body.map_err(|_| CallFault::Broke("the answer broke off"))?;
+        let body = body.map_err(|_| CallError::Disconnected("the answer broke off"))?;
         lay_down(traffic, self.link, &self.facts);
         Ok((self.parts, body.to_bytes()))
     }
@@ -144,12 +144,12 @@
 /// Sends a request to a target and waits for the head of its answer.
 pub(crate) async fn call_target(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     target: &TargetSpec,
     request: Request<Full<Bytes>>,
     purpose: CallPurpose<'_>,
     limit: Duration,
-) -> Result<TargetAnswer, CallFault> {
+) -> Result<TargetResponse, CallError> {
     let attempt = purpose.attempt();
     let flight = FlightGuard::new(desk, target);
     let mut link = open_link(traffic, desk, target).await?;
@@ -171,20 +171,20 @@
     let answer = match sent.or(late).await {
         Some(Ok(answer)) => answer,
         Some(Err(HttpError::NotConnected)) => {
-            return Err(CallFault::NotSent("the connection was closed"))
+            return Err(CallError::NotSent("the connection was closed"))
         }
-        Some(Err(_)) => return Err(CallFault::Broke("the connection broke")),
-        None => return Err(CallFault::Unknown("no answer in time")),
+        Some(Err(_)) => return Err(CallError::Disconnected("the connection broke")),
+        None => return Err(CallError::Unknown("no answer in time")),
     };
     let (parts, body) = answer.into_parts();
-    let word = hear_words(traffic, desk, target, &parts, attempt, now);
+    let word = process_signals(traffic, desk, target, &parts, attempt, now);
     let facts = decode_response(&parts).map_err(|problem| {
         log::warn!("target={} answer refused: {problem}", target.id);
-        CallFault::Unknown("the answer's head makes no sense")
+        CallError::Unknown("the answer's head makes no sense")
     })?;
     if let Some(mark) = facts.load {
         let now = traffic.shared.now();
-        let mut board = desk.board.borrow_mut();
+        let mut board = desk.targets.borrow_mut();
         board.record_load(now, &target.id, mark);
     }
     if attempt.is_some() && !facts.not_run && facts.attempt.as_deref() != attempt {
@@ -192,7 +192,7 @@
     }
     let is_whole = attempt.is_none() || (facts.is_signed && !facts.is_encoded);
     if parts.status.is_success() && !is_whole {
-        return Err(CallFault::Unknown("the answer is not the target's own"));
+        return Err(CallError::Unknown("the answer is not the target's own"));
     }
     if facts.not_run {
         drain_refusal(traffic, link, &facts, body).await;
@@ -200,9 +200,9 @@
             .shared
             .metrics
             .note_service(&target.service, ServiceEvent::NotRun);
-        return Err(CallFault::NotRun(parts.status));
+        return Err(CallError::NotRun(parts.status));
     }
-    Ok(TargetAnswer {
+    Ok(TargetResponse {
         parts,
         facts,
         leaves: word.is_leaving,
@@ -213,7 +213,7 @@
 }
 
 /// Notes an answer that belongs to another request; its connection is spoiled.
-fn other_attempt(traffic: &Traffic, target: &TargetSpec, facts: &ResponseAttributes) -> CallFault {
+fn other_attempt(traffic: &Traffic, target: &TargetSpec, facts: &ResponseAttributes) -> CallError {
     log::warn!(
         "target={} dropped an answer for request={}",
         target.id,
@@ -223,15 +223,15 @@
         .shared
         .metrics
         .note_service(&target.service, ServiceEvent::OtherAttempt);
-    CallFault::Unknown("the answer belongs to another request")
+    CallError::Unknown("the answer belongs to another request")
 }
 
 /// Returns a connection to a target, one at rest where there is one.
 async fn open_link(
     traffic: &Traffic,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     target: &TargetSpec,
-) -> Result<HttpConnection, CallFault> {
+) -> Result<HttpConnection, CallError> {
     let rested =
         traffic
             .shelf
@@ -245,8 +245,8 @@
     metrics.note_service(&target.service, ServiceEvent::Connected);
     opened.map_err(|_| {
         let now = traffic.shared.now();
-        desk.board.borrow_mut().record_refusal(now, &target.id);
-        CallFault::NotSent("no connection to the target")
+        desk.targets.borrow_mut().record_refusal(now, &target.id);
+        CallError::NotSent("no connection to the target")
     })
 }
 
--- a/packages/turnford-serve/src/crash_check.rs
+++ b/packages/turnford-serve/src/crash_check.rs
@@ -15,7 +15,7 @@
 
 use crate::crash::note_crash;
 use crate::crash::BrokenCall;
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Longest wait for a target's machine to say that nobody takes connections there. One that ended
@@ -29,7 +29,7 @@
 /// then, so that no other copy is placed before the crash is known.
 pub(crate) async fn check_break<P>(
     traffic: Rc<Traffic>,
-    desk: Rc<ServiceDesk>,
+    desk: Rc<ServiceContext>,
     call: BrokenCall,
     place: P,
 ) {
@@ -40,7 +40,7 @@
 /// Finds out whether a target crashed under a call with the pieces of some requests.
 pub(crate) async fn check_pieces(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     target: &TargetSpec,
     plan: &BatchPlan,
 ) {
@@ -60,13 +60,13 @@
 }
 
 /// Finds out whether a target crashed under some requests, and notes it.
-async fn check_breaks(traffic: &Rc<Traffic>, desk: &Rc<ServiceDesk>, calls: Vec<BrokenCall>) {
+async fn check_breaks(traffic: &Rc<Traffic>, desk: &Rc<ServiceContext>, calls: Vec<BrokenCall>) {
     let Some(target) = calls.first().map(|call| call.target.clone()) else {
         return;
     };
     // A target that leaves ends as planned, and cuts what it still runs.
     let is_leaving = {
-        let board = desk.board.borrow();
+        let board = desk.targets.borrow();
         board.get(&target.id).is_some_and(|spec| spec.leaving)
     };
     if is_leaving || traffic.crashes.has_left(&target) {
@@ -75,7 +75,7 @@
     let port = probe_port(target.address, PORT_LIMIT).await;
     let now = traffic.shared.now();
     if port == PortState::Refused {
-        desk.board.borrow_mut().record_refusal(now, &target.id);
+        desk.targets.borrow_mut().record_refusal(now, &target.id);
     }
     for call in calls {
         if port == PortState::Refused {
@@ -89,7 +89,7 @@
 }
 
 /// Notes crashes that a service's new list of targets shows.
-pub(crate) fn check_starts(traffic: &Rc<Traffic>, desk: &ServiceDesk) {
+pub(crate) fn check_starts(traffic: &Rc<Traffic>, desk: &ServiceContext) {
     let now = traffic.shared.now();
     let service = desk.spec.borrow().name.clone();
     let has_ended = |target: &TargetSpec| target.service == service && is_other_start(desk, target);
@@ -99,8 +99,8 @@
 }
 
 /// Tells whether a target's process is known to have ended since a call was made, unplanned.
-fn is_other_start(desk: &ServiceDesk, target: &TargetSpec) -> bool {
-    let board = desk.board.borrow();
+fn is_other_start(desk: &ServiceContext, target: &TargetSpec) -> bool {
+    let board = desk.targets.borrow();
     let listed = board.get(&target.id);
     listed.is_none_or(|listed| listed.process_start != target.process_start && !target.leaving)
 }
--- a/packages/turnford-serve/src/crash_news.rs
+++ b/packages/turnford-serve/src/crash_news.rs
@@ -61,7 +61,7 @@
     let told = traffic.clone();
     // A crash may be found while the services are being changed, when they can't be listed.
     let tell = async move {
-        let desks = told.all_desks();
+        let desks = told.all_services();
         let placers: BTreeSet<SocketAddr> = desks
             .iter()
             .filter_map(|desk| desk.limits.placer())
--- a/packages/turnford-serve/src/desk.rs
+++ b/packages/turnford-serve/src/desk.rs
@@ -24,11 +24,11 @@
 use turnford_policy::TargetTable;
 use turnford_policy::RANK_COUNT;
 
-use crate::call::CallFault;
+use crate::call::CallError;
 use crate::call::CallPurpose;
 use crate::limits::ServiceLimits;
-use crate::line::WaitLine;
-use crate::pieces::PieceDesk;
+use crate::line::WaitQueue;
+use crate::pieces::CellQueue;
 
 /// Time after which half of a told wait no longer counts: queues change within a call or two.
 const WAIT_HALF_LIFE: Duration = Duration::from_millis(500);
@@ -42,9 +42,9 @@
 const START_TOKENS: f64 = 2000.0;
 
 /// A service.
-pub(crate) struct ServiceDesk {
+pub(crate) struct ServiceContext {
     pub(crate) spec: RefCell<Arc<ServiceSpec>>,
-    pub(crate) board: RefCell<TargetTable>,
+    pub(crate) targets: RefCell<TargetTable>,
     /// Limits that targets name for all nodes together.
     pub(crate) limits: Rc<ServiceLimits>,
     /// What is known of the targets where they are model engines.
@@ -59,9 +59,9 @@
     /// Span of this node's own calls until their first answer, by the tokens that only the request has.
     last_line: RefCell<LatencyModel>,
     /// Requests that wait until a target takes calls.
-    pub(crate) line: Rc<WaitLine>,
+    pub(crate) line: Rc<WaitQueue>,
     /// Cells of the targets, where the service runs pieces of stages.
-    pub(crate) cells: RefCell<Vec<Rc<PieceDesk>>>,
+    pub(crate) cells: RefCell<Vec<Rc<CellQueue>>>,
     /// Waits that the gathering nodes told, by cell.
     waits: RefCell<HashMap<usize, ToldWaits>>,
 }
@@ -72,7 +72,7 @@
     waits: [Duration; RANK_COUNT],
 }
 
-impl ServiceDesk {
+impl ServiceContext {
     pub(crate) fn new(
         spec: Arc<ServiceSpec>,
         allowance: RetryAllowance,
@@ -80,7 +80,7 @@
     ) -> Rc<Self> {
         Rc::new(Self {
             spec: RefCell::new(spec),
-            board: RefCell::default(),
+            targets: RefCell::default(),
             limits,
             engines: RefCell::default(),
             flow: RefCell::default(),
@@ -105,7 +105,7 @@
     }
 
     /// Returns a number for a trial at a target that is no engine; engines number their runs.
-    pub(crate) fn take_trial_number(&self) -> TrialTicket {
+    pub(crate) fn next_trial_id(&self) -> TrialTicket {
         self.next_trial.set(self.next_trial.get() + 1);
         self.next_trial.get()
     }
@@ -117,28 +117,30 @@
         now: Moment,
         target: &str,
         purpose: CallPurpose<'_>,
-    ) -> Option<CallFault> {
-        let board = self.board.borrow();
+    ) -> Option<CallError> {
+        let board = self.targets.borrow();
         let Some(spec) = board.get(target) else {
-            return Some(CallFault::Closed("the target is gone"));
+            return Some(CallError::Unavailable("the target is gone"));
         };
-        if spec.leaving && purpose != CallPurpose::Upkeep {
-            return Some(CallFault::Closed("the target is leaving"));
+        if spec.leaving && purpose != CallPurpose::Maintenance {
+            return Some(CallError::Unavailable("the target is leaving"));
         }
         if board.backoff_until(now, target).is_some() {
-            return Some(CallFault::Closed("the target wants rest"));
+            return Some(CallError::Unavailable("the target wants rest"));
         }
-        let has_room = purpose == CallPurpose::Upkeep || board.is_within_limit(now, target);
+        let has_room = purpose == CallPurpose::Maintenance || board.is_within_limit(now, target);
         if !has_room {
-            return Some(CallFault::Closed("the target comes back from its rest"));
+            return Some(CallError::Unavailable(
+                "the target comes back from its rest",
+            ));
         }
         let has_permit = self.limits.board.borrow_mut().try_acquire(now, target);
-        (!has_permit).then_some(CallFault::Limited)
+        (!has_permit).then_some(CallError::Limited)
     }
 
     /// Returns those of a cell's targets that take a further call of this node.
     pub(crate) fn awake_targets(&self, now: Moment, targets: &[TargetSpec]) -> Vec<TargetSpec> {
-        let board = self.board.borrow();
+        let board = self.targets.borrow();
         let limits = self.limits.board.borrow();
         let awake = targets
             .iter()
@@ -148,7 +150,7 @@
 
     /// Notes a good answer of a target; it may let in those that wait.
     pub(crate) fn note_success(&self, now: Moment, target: &str) {
-        self.board.borrow_mut().record_success(now, target);
+        self.targets.borrow_mut().record_success(now, target);
         self.line.wake_first();
     }
 
@@ -156,7 +158,7 @@
     pub(crate) fn stage_rate(&self, now: Moment) -> Option<StageRate> {
         let spec = self.spec.borrow().clone();
         let batch = spec.batch.as_ref()?;
-        let board = self.board.borrow();
+        let board = self.targets.borrow();
         let open = board.open_targets();
         let is_awake = |target: &&TargetSpec| {
             !board.is_paused(now, &target.id) && !board.has_any_backoff(now, &target.id)
@@ -207,12 +209,12 @@
         let Some(batch) = &spec.batch else {
             return;
         };
-        let board = self.board.borrow();
+        let board = self.targets.borrow();
         let open: Vec<TargetSpec> = board.open_targets().cloned().collect();
         let split = split_cells(&open);
         let mut cells = self.cells.borrow_mut();
         while cells.len() < split.len() {
-            cells.push(PieceDesk::new(batch.clone()));
+            cells.push(CellQueue::new(batch.clone()));
         }
         for (number, cell) in cells.iter().enumerate() {
             cell.targets
@@ -231,7 +233,7 @@
 
     /// Returns the targets of each cell that is in use.
     pub(crate) fn split(&self) -> Vec<Vec<TargetSpec>> {
-        let board = self.board.borrow();
+        let board = self.targets.borrow();
         let open: Vec<TargetSpec> = board.open_targets().cloned().collect();
         split_cells(&open)
     }
@@ -261,7 +263,7 @@
         let Some(pieces) = self.cell(cell) else {
             return [Duration::ZERO; RANK_COUNT];
         };
-        let board = self.board.borrow();
+        let board = self.targets.borrow();
         let targets = pieces.targets.borrow();
         let waiting = pieces.board.borrow();
         let awake = self.awake_targets(now, &targets);
@@ -274,7 +276,7 @@
     }
 
     /// Returns a cell by its number.
-    pub(crate) fn cell(&self, number: usize) -> Option<Rc<PieceDesk>> {
+    pub(crate) fn cell(&self, number: usize) -> Option<Rc<CellQueue>> {
         let cells = self.cells.borrow();
         let count = cells.len().max(1);
         cells.get(number % count).cloned()
@@ -297,7 +299,7 @@
 
 /// A call under way at a target; its end is noted when this is dropped.
 pub(crate) struct FlightGuard {
-    desk: Rc<ServiceDesk>,
+    desk: Rc<ServiceContext>,
     target: TargetId,
     /// Start of the target's process.
     born: ProcessStart,
@@ -305,8 +307,8 @@
 
 impl FlightGuard {
     /// Notes a call.
-    pub(crate) fn new(desk: &Rc<ServiceDesk>, target: &TargetSpec) -> Self {
-        desk.board.borrow_mut().record_start(&target.id);
+    pub(crate) fn new(desk: &Rc<ServiceContext>, target: &TargetSpec) -> Self {
+        desk.targets.borrow_mut().record_start(&target.id);
         Self {
             desk: desk.clone(),
             target: target.id.clone(),
@@ -317,7 +319,7 @@
 
 impl Drop for FlightGuard {
     fn drop(&mut self) {
-        let mut board = self.desk.board.borrow_mut();
+        let mut board = self.desk.targets.borrow_mut();
         let listed = board.get(&self.target);
         if listed.is_some_and(|listed| listed.process_start == self.born) {
             board.record_end(&self.target);
--- a/packages/turnford-serve/src/entry.rs
+++ b/packages/turnford-serve/src/entry.rs
@@ -22,7 +22,7 @@
 use turnford_http::ConnectionLimits;
 use turnford_policy::ClientLimits;
 
-use crate::answer::AnswerBody;
+use crate::answer::ResponseBody;
 use crate::request::serve_request;
 use crate::shared::ServeShared;
 use crate::traffic::Traffic;
@@ -44,7 +44,7 @@
     handler: F,
 ) where
     F: Fn(Request<Incoming>) -> Fut + 'static,
-    Fut: Future<Output = Response<AnswerBody>> + 'static,
+    Fut: Future<Output = Response<ResponseBody>> + 'static,
 {
     let handler = Rc::new(handler);
     loop {
@@ -87,7 +87,7 @@
 pub(crate) async fn handle_client(
     traffic: Rc<Traffic>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let mut answer = serve_request(traffic.clone(), request).await;
     if traffic.shared.is_draining() {
         let close = HeaderValue::from_static("close");
@@ -100,7 +100,7 @@
 pub(crate) fn answer_probe(
     shared: &ServeShared,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let (parts, _) = request.into_parts();
     let status = if !is_readiness_probe(&parts) {
         StatusCode::NOT_FOUND
@@ -116,7 +116,7 @@
 pub(crate) fn answer_metrics(
     shared: &ServeShared,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     if request.uri().path() != "/metrics" {
         return plain_answer(StatusCode::NOT_FOUND, Bytes::new());
     }
@@ -125,8 +125,8 @@
     plain_answer(StatusCode::OK, Bytes::from(shared.metrics.text()))
 }
 
-fn plain_answer(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(body));
+fn plain_answer(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(body));
     *answer.status_mut() = status;
     answer
 }
--- a/packages/turnford-serve/src/forward.rs
+++ b/packages/turnford-serve/src/forward.rs
@@ -17,25 +17,25 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
-use crate::answer::own_answer;
-use crate::answer::passed_answer;
-use crate::answer::AnswerBody;
-use crate::answer::RanState;
+use crate::answer::error_response;
+use crate::answer::proxied_response;
+use crate::answer::RanStatus;
+use crate::answer::ResponseBody;
 use crate::call::call_target;
-use crate::call::CallFault;
+use crate::call::CallError;
 use crate::call::CallPurpose;
-use crate::call::TargetAnswer;
+use crate::call::TargetResponse;
 use crate::crash::note_good_end;
 use crate::crash::BrokenCall;
 use crate::crash_check::check_break;
-use crate::desk::ServiceDesk;
-use crate::line::LinePlace;
+use crate::desk::ServiceContext;
+use crate::line::QueuePosition;
 use crate::metrics::ServiceEvent;
 use crate::opening::return_span;
 use crate::placed_run::PlacedRun;
 use crate::placement::place_request;
-use crate::placement::PlaceEnd;
-use crate::placement::PlaceWish;
+use crate::placement::PlacementOptions;
+use crate::placement::PlacementOutcome;
 use crate::record::RequestRecord;
 use crate::request::refuse_limited;
 use crate::request::refuse_resting;
@@ -65,7 +65,7 @@
 /// A request with what its stages gave.
 pub(crate) struct ForwardJob<'a> {
     pub(crate) record: &'a Rc<RequestRecord>,
-    pub(crate) desk: &'a Rc<ServiceDesk>,
+    pub(crate) desk: &'a Rc<ServiceContext>,
     pub(crate) parts: &'a Parts,
     pub(crate) body: &'a Bytes,
     pub(crate) results: &'a StageResults,
@@ -74,7 +74,7 @@
 /// How the call ended.
 pub(crate) enum ForwardEnd {
     /// The client's answer.
-    Answer(Response<AnswerBody>),
+    Answer(Response<ResponseBody>),
     /// A result of the stages was gone; nothing ran.
     InputGone,
 }
@@ -92,7 +92,7 @@
     /// Targets whose limits let the request through no more when it was to be sent.
     limited: usize,
     /// An answer that says that the target failed, kept in case nothing better comes.
-    failed: Option<Response<AnswerBody>>,
+    failed: Option<Response<ResponseBody>>,
 }
 
 /// Calls targets until one answers or no further one may be called.
@@ -109,7 +109,7 @@
     job.desk.allowance.borrow_mut().record_first_attempt(now);
     job.record.note_last_begun();
     while may_try(traffic, job, &log) {
-        let wish = PlaceWish {
+        let wish = PlacementOptions {
             inputs: &job.results.halls,
             tried: &log.tried,
             // Where a target failed at it, its answer is not held back for another's rest.
@@ -117,21 +117,23 @@
         };
         let placed = place_request(traffic, job.record, job.desk, &wish).await;
         let mut placed = match placed {
-            PlaceEnd::Placed(placed) => placed,
-            PlaceEnd::Suspect(refusal) if !log.may_have_run => {
+            PlacementOutcome::Placed(placed) => placed,
+            PlacementOutcome::Suspect(refusal) if !log.may_have_run => {
                 return ForwardEnd::Answer(refuse_suspect(job.record, &refusal));
             }
-            PlaceEnd::Suspect(refusal) => {
+            PlacementOutcome::Suspect(refusal) => {
                 job.record.note(format_args!("{}", refusal.reason()));
                 break;
             }
-            PlaceEnd::TooLate(back_after) if !log.may_have_run => {
+            PlacementOutcome::TooLate(back_after) if !log.may_have_run => {
                 return ForwardEnd::Answer(refuse_resting(job.record, back_after));
             }
-            PlaceEnd::Full(back_after) if !log.may_have_run => {
+            PlacementOutcome::Full(back_after) if !log.may_have_run => {
                 return ForwardEnd::Answer(refuse_limited(job.record, back_after));
             }
-            PlaceEnd::TooLate(_) | PlaceEnd::Full(_) | PlaceEnd::Nowhere => break,
+            PlacementOutcome::TooLate(_)
+            | PlacementOutcome::Full(_)
+            | PlacementOutcome::Nowhere => break,
         };
         let target = placed.target.clone();
         log.tried.push(target.id.clone());
@@ -149,16 +151,16 @@
             Err(fault) => {
                 if !matches!(
                     fault,
-                    CallFault::Closed(_)
-                        | CallFault::Limited
-                        | CallFault::NotRun(StatusCode::CONFLICT)
+                    CallError::Unavailable(_)
+                        | CallError::Limited
+                        | CallError::NotRun(StatusCode::CONFLICT)
                 ) {
                     placed.note_refused();
                 }
                 if let Some(end) = note_fault(traffic, job, &mut log, &target, &fault) {
                     return end;
                 }
-                if matches!(fault, CallFault::Broke(_)) {
+                if matches!(fault, CallError::Disconnected(_)) {
                     // An engine that begins to run a request sends the head of its answer.
                     let has_begun = job.desk.spec.borrow().engine.is_none();
                     note_break(traffic, job, &log, *placed, has_begun).await;
@@ -197,8 +199,8 @@
     traffic: &Rc<Traffic>,
     job: &ForwardJob<'_>,
     target: &TargetSpec,
-    turn: Option<LinePlace>,
-) -> Result<TargetAnswer, CallFault> {
+    turn: Option<QueuePosition>,
+) -> Result<TargetResponse, CallError> {
     let record = job.record;
     let left = record.left();
     let is_engine = job.desk.spec.borrow().engine.is_some();
@@ -212,7 +214,7 @@
     };
     let request = encode_forward(job.parts, job.body.clone(), &order).map_err(|problem| {
         log::warn!("request={} not passed on: {problem}", record.facts.attempt);
-        CallFault::NotSent("the request can't be passed on")
+        CallError::NotSent("the request can't be passed on")
     })?;
     record.note(format_args!(
         "to {} in {}, left {}ms",
@@ -237,7 +239,7 @@
     job: &ForwardJob<'_>,
     log: &mut TryLog,
     placed: PlacedRun,
-    answer: TargetAnswer,
+    answer: TargetResponse,
 ) -> Option<ForwardEnd> {
     let target = placed.target.clone();
     let record = job.record;
@@ -259,9 +261,9 @@
     };
     log.sent += 1;
     log.may_have_run = true;
-    let passed = passed_answer(&parts, AnswerBody::whole(body));
+    let passed = proxied_response(&parts, ResponseBody::whole(body));
     if status.is_server_error() {
-        job.desk.board.borrow_mut().record_failure(&target.id);
+        job.desk.targets.borrow_mut().record_failure(&target.id);
         if record.route.is_repeatable() {
             log.failed = Some(passed);
             return None;
@@ -319,12 +321,12 @@
     job: &ForwardJob<'_>,
     log: &mut TryLog,
     target: &TargetSpec,
-    fault: &CallFault,
+    fault: &CallError,
 ) -> Option<ForwardEnd> {
     let now = traffic.shared.now();
-    let mut board = job.desk.board.borrow_mut();
+    let mut board = job.desk.targets.borrow_mut();
     match fault {
-        CallFault::Closed(reason) => {
+        CallError::Unavailable(reason) => {
             // No try: nothing was to reach the target.
             job.record
                 .note(format_args!("{} not asked: {reason}", target.id));
@@ -332,7 +334,7 @@
                 job.desk.allowance.borrow_mut().release();
             }
         }
-        CallFault::Limited => {
+        CallError::Limited => {
             // No try either; there may be a permit again for the same target.
             let metrics = &traffic.shared.metrics;
             metrics.note_service(&target.service, ServiceEvent::Limited);
@@ -348,12 +350,12 @@
                 log.tried.retain(|tried| *tried != target.id);
             }
         }
-        CallFault::NotSent(reason) => {
+        CallError::NotSent(reason) => {
             log.unreached += 1;
             job.record
                 .note(format_args!("{} not reached: {reason}", target.id));
         }
-        CallFault::NotRun(status) => {
+        CallError::NotRun(status) => {
             log.sent += 1;
             job.record
                 .note(format_args!("{} did not run it: {status}", target.id));
@@ -362,7 +364,7 @@
             }
             board.record_refusal(now, &target.id);
         }
-        CallFault::Broke(reason) | CallFault::Unknown(reason) => {
+        CallError::Disconnected(reason) | CallError::Unknown(reason) => {
             log.sent += 1;
             log.may_have_run = true;
             job.record
@@ -376,7 +378,7 @@
 }
 
 /// Returns the final answer where no target gave one.
-fn give_up(traffic: &Traffic, job: &ForwardJob<'_>, log: TryLog) -> Response<AnswerBody> {
+fn give_up(traffic: &Traffic, job: &ForwardJob<'_>, log: TryLog) -> Response<ResponseBody> {
     let record = job.record;
     if let Some(answer) = log.failed {
         record.note_head();
@@ -390,11 +392,11 @@
         } else {
             ResultCode::OutcomeUnknown
         };
-        (code, RanState::Unknown, "no target gave an answer")
+        (code, RanStatus::Unknown, "no target gave an answer")
     } else {
-        (ResultCode::NoTarget, RanState::No, "no target took it")
+        (ResultCode::NoTarget, RanStatus::No, "no target took it")
     };
     record.end(code, reason);
-    let retry_after = (ran == RanState::No).then(|| return_span(traffic, job.desk));
-    own_answer(&record.facts.attempt, code, ran, reason, retry_after)
+    let retry_after = (ran == RanStatus::No).then(|| return_span(traffic, job.desk));
+    error_response(&record.facts.attempt, code, ran, reason, retry_after)
 }
--- a/packages/turnford-serve/src/gather.rs
+++ b/packages/turnford-serve/src/gather.rs
@@ -22,8 +22,8 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceDesk;
-use crate::inputs::InputHold;
+use crate::desk::ServiceContext;
+use crate::inputs::InputTracker;
 use crate::peers::WaitingGuard;
 use crate::peers::SILENCE_SPAN;
 use crate::pieces::PieceCell;
@@ -41,7 +41,7 @@
 /// A cell of a service by its number.
 #[derive(Clone)]
 pub(crate) struct CellPlace {
-    pub(crate) desk: Rc<ServiceDesk>,
+    pub(crate) desk: Rc<ServiceContext>,
     pub(crate) number: usize,
 }
 
@@ -86,7 +86,7 @@
             gave_up: false,
         };
     };
-    let inputs = InputHold::new(traffic, last_use, count);
+    let inputs = InputTracker::new(traffic, last_use, count);
     let cell = PieceCell {
         traffic: traffic.clone(),
         desk: place.desk.clone(),
@@ -208,8 +208,8 @@
 fn asked_inputs(traffic: &Traffic, entries: &[InputEntry]) -> Vec<PieceResult> {
     let own = traffic.shared.settings.work;
     let known = entries.iter().filter_map(|entry| {
-        let desk = traffic.desk(&entry.service)?;
-        let maker = desk.board.borrow().get(&entry.target)?.clone();
+        let desk = traffic.service(&entry.service)?;
+        let maker = desk.targets.borrow().get(&entry.target)?.clone();
         let gatherer = (entry.gatherer != own).then_some(entry.gatherer);
         Some(PieceResult {
             handle: entry.handle.clone(),
@@ -224,7 +224,7 @@
     match end {
         PieceReplyItem::Completed { handle, target } => {
             // A target that left the list meanwhile keeps its result; the input's fetch will tell.
-            let maker = place.desk.board.borrow().get(&target).cloned();
+            let maker = place.desk.targets.borrow().get(&target).cloned();
             match maker {
                 Some(maker) => PieceOutcome::Made(PieceResult {
                     handle,
@@ -263,7 +263,7 @@
 
 /// Answers pieces that another node hands over.
 pub(crate) async fn answer_pieces(traffic: &Rc<Traffic>, ask: PieceRequest) -> WorkReply {
-    let Some(desk) = traffic.desk(&ask.service) else {
+    let Some(desk) = traffic.service(&ask.service) else {
         return WorkReply::Refused;
     };
     let place = CellPlace {
@@ -345,10 +345,10 @@
 
 /// Answers a release by another node.
 pub(crate) fn answer_release(traffic: &Rc<Traffic>, service: &str, results: Vec<(String, String)>) {
-    let Some(desk) = traffic.desk(service) else {
+    let Some(desk) = traffic.service(service) else {
         return;
     };
-    let board = desk.board.borrow();
+    let board = desk.targets.borrow();
     let known = results.into_iter().filter_map(|(target, handle)| {
         let maker = board.get(&target)?.clone();
         Some(PieceResult {
--- a/packages/turnford-serve/src/inputs.rs
+++ b/packages/turnford-serve/src/inputs.rs
@@ -11,7 +11,7 @@
 use crate::traffic::Traffic;
 
 /// The inputs of a stage's pieces, until all have read them.
-pub(crate) struct InputHold {
+pub(crate) struct InputTracker {
     traffic: Rc<Traffic>,
     results: Vec<PieceResult>,
     /// Pieces that have not read them yet.
@@ -19,7 +19,7 @@
     has_given_up: Cell<bool>,
 }
 
-impl InputHold {
+impl InputTracker {
     /// Makes a hold for so many pieces.
     pub(crate) fn new(traffic: &Rc<Traffic>, results: Vec<PieceResult>, pieces: usize) -> Rc<Self> {
         Rc::new(Self {
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -19,9 +19,9 @@
 use turnford_wire::WorkRequest;
 
 use crate::call::call_target;
-use crate::call::CallFault;
+use crate::call::CallError;
 use crate::call::CallPurpose;
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::fanout::tell_peers;
 use crate::fanout::tell_some;
 use crate::fanout::NewsQueue;
@@ -49,7 +49,7 @@
 pub(crate) type LeavingQueue = NewsQueue<LeavingUpdate>;
 
 /// Notes that a target said in an answer to this node that it leaves, and tells others.
-pub(crate) fn hear_leaving(traffic: &Rc<Traffic>, desk: &Rc<ServiceDesk>, target: &TargetSpec) {
+pub(crate) fn hear_leaving(traffic: &Rc<Traffic>, desk: &Rc<ServiceContext>, target: &TargetSpec) {
     let news = LeavingUpdate {
         service: target.service.to_string(),
         target: target.id.to_string(),
@@ -63,12 +63,12 @@
 /// Takes a target's word; true if it is new here.
 fn take_leaving(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     news: &LeavingUpdate,
     source: &str,
 ) -> bool {
     let now = traffic.shared.now();
-    let mut board = desk.board.borrow_mut();
+    let mut board = desk.targets.borrow_mut();
     if !board.record_leaving(now, &news.target, news.process_start) {
         return false;
     }
@@ -105,7 +105,7 @@
 fn doers_of(traffic: &Rc<Traffic>, news: &[LeavingUpdate]) -> BTreeSet<SocketAddr> {
     let services: BTreeSet<&str> = news.iter().map(|news| &*news.service).collect();
     let duties = services.into_iter().flat_map(|service| {
-        let cells = traffic.desk(service).map_or(0, |desk| desk.cell_count());
+        let cells = traffic.service(service).map_or(0, |desk| desk.cell_count());
         let gathers = (0..cells).map(move |cell| Duty::Gather(service.to_owned(), cell));
         gathers.chain([Duty::Place(service.to_owned())])
     });
@@ -117,7 +117,7 @@
 /// Takes another node's news, and passes on what is new.
 pub(crate) fn answer_leaving(traffic: &Rc<Traffic>, news: Vec<LeavingUpdate>) -> WorkReply {
     let is_new = |news: &LeavingUpdate| {
-        let desk = traffic.desk(&news.service);
+        let desk = traffic.service(&news.service);
         desk.is_some_and(|desk| take_leaving(traffic, &desk, news, "another node"))
     };
     let new: Vec<LeavingUpdate> = news.into_iter().filter(is_new).collect();
@@ -130,12 +130,12 @@
 /// Asks targets that said that they leave, and are still listed as ready long after, whether they stay,
 /// for as long as the node runs.
 pub(crate) async fn ask_leaving(traffic: Rc<Traffic>) {
-    let later = traffic.draw();
+    let later = traffic.random();
     loop {
         Timer::after(ASK_PAUSE).await;
         let now = traffic.shared.now();
-        for desk in traffic.all_desks() {
-            let due = desk.board.borrow_mut().take_due_probes(now, later);
+        for desk in traffic.all_services() {
+            let due = desk.targets.borrow_mut().take_due_probes(now, later);
             for target in due {
                 let ask = ask_target(traffic.clone(), desk.clone(), target);
                 traffic.executor.spawn(ask).detach();
@@ -144,7 +144,7 @@
     }
 }
 
-async fn ask_target(traffic: Rc<Traffic>, desk: Rc<ServiceDesk>, target: TargetSpec) {
+async fn ask_target(traffic: Rc<Traffic>, desk: Rc<ServiceContext>, target: TargetSpec) {
     let until = traffic.shared.now() + PERMIT_LIMIT;
     if !desk.limits.wait_permit(&target, until).await {
         log::info!("target={} has no call for a question", target.id);
@@ -153,7 +153,7 @@
     let stays = read_health(&traffic, &desk, &target).await;
     log::info!("target={} was asked whether it stays: {stays:?}", target.id);
     if stays == Ok(true) {
-        desk.board
+        desk.targets
             .borrow_mut()
             .record_active(&target.id, target.process_start);
         traffic.refresh_pieces(&desk);
@@ -162,23 +162,23 @@
 
 /// Asks a target whether it is well and does not leave.
 /// Asks a target how it is, so that it says what it wants said.
-pub(crate) async fn ask_health(traffic: Rc<Traffic>, desk: Rc<ServiceDesk>, target: TargetSpec) {
+pub(crate) async fn ask_health(traffic: Rc<Traffic>, desk: Rc<ServiceContext>, target: TargetSpec) {
     let end = read_health(&traffic, &desk, &target).await;
     log::info!("target={} was asked how it is: {end:?}", target.id);
 }
 
 async fn read_health(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     target: &TargetSpec,
-) -> Result<bool, CallFault> {
+) -> Result<bool, CallError> {
     let path = desk.spec.borrow().health_path.clone();
     let host = target.address.to_string();
     let request = encode_health(&path, &host, &target.id).map_err(|problem| {
         log::error!("target={} can't be asked: {problem}", target.id);
-        CallFault::NotSent("the question can't be written down")
+        CallError::NotSent("the question can't be written down")
     })?;
-    let purpose = CallPurpose::Upkeep;
+    let purpose = CallPurpose::Maintenance;
     let answer = call_target(traffic, desk, target, request, purpose, ASK_LIMIT).await?;
     let is_well = answer.parts.status.is_success() && !answer.leaves;
     answer.collect(traffic, ANSWER_LIMIT).await?;
--- a/packages/turnford-serve/src/limit_place.rs
+++ b/packages/turnford-serve/src/limit_place.rs
@@ -11,10 +11,10 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::limit_news::report_limit;
 use crate::limits::PermitEnd;
-use crate::plain_choice::choose_plain;
+use crate::plain_choice::choose_target;
 use crate::traffic::Traffic;
 
 /// Pause before a request looks again where this node does not divide.
@@ -51,7 +51,7 @@
 /// Places a request: at targets with room first, in turn where all have limits.
 pub(crate) fn place_limited(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     need: &PlacementRequest,
     turn: &TurnAsk,
 ) -> LimitedPlace {
@@ -59,7 +59,7 @@
         return LimitedPlace::of(place_best(traffic, desk, need));
     }
     let now = traffic.shared.now();
-    let left = desk.board.borrow().untried_targets(&need.tried);
+    let left = desk.targets.borrow().untried_targets(&need.tried);
     let mut division = desk.limits.division.borrow_mut();
     let Some(divider) = division.divider() else {
         drop(division);
@@ -68,7 +68,7 @@
     let (limited, free): (Vec<TargetId>, Vec<TargetId>) =
         left.into_iter().partition(|id| divider.is_limited(now, id));
     let is_any_awake = {
-        let board = desk.board.borrow();
+        let board = desk.targets.borrow();
         free.iter().any(|id| !board.is_paused(now, id))
     };
     if !limited.is_empty() && !is_any_awake {
@@ -100,7 +100,7 @@
 /// Places a request at a target without a limit, since this node does not divide.
 fn place_beside(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     need: &PlacementRequest,
     left: &[TargetId],
 ) -> LimitedPlace {
@@ -121,15 +121,15 @@
 /// Places a request at the best target that it was not sent to before.
 fn place_best(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     need: &PlacementRequest,
 ) -> Option<(TargetSpec, u64)> {
     if desk.spec.borrow().engine.is_none() {
-        let target = choose_plain(traffic, desk, &need.tried)?;
-        return Some((target, desk.take_trial_number()));
+        let target = choose_target(traffic, desk, &need.tried)?;
+        return Some((target, desk.next_trial_id()));
     }
     let now = traffic.shared.now();
-    let board = desk.board.borrow();
+    let board = desk.targets.borrow();
     desk.engines.borrow_mut().place(now, &board, need)
 }
 
@@ -141,15 +141,15 @@
 /// Returns nothing where all that are left have limits, so that requests of all nodes take turns.
 pub(crate) async fn choose_limited(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     tried: &[TargetId],
 ) -> Result<Option<TargetSpec>, ()> {
     if !desk.limits.board.borrow().has_limits() {
-        return Ok(choose_plain(traffic, desk, tried));
+        return Ok(choose_target(traffic, desk, tried));
     }
     loop {
         let now = traffic.shared.now();
-        let left = desk.board.borrow().untried_targets(tried);
+        let left = desk.targets.borrow().untried_targets(tried);
         if !has_free(desk, now, &left) {
             return if left.is_empty() { Ok(None) } else { Err(()) };
         }
@@ -159,7 +159,7 @@
             denied.cloned().collect::<Vec<TargetId>>()
         };
         let closed = [tried, &denied[..]].concat();
-        let Some(target) = choose_plain(traffic, desk, &closed) else {
+        let Some(target) = choose_target(traffic, desk, &closed) else {
             return Ok(None);
         };
         if desk.limits.board.borrow().is_open(now, &target.id) {
@@ -187,8 +187,8 @@
 }
 
 /// Tells whether any of these targets needs no permit and is not paused.
-fn has_free(desk: &ServiceDesk, now: Moment, targets: &[TargetId]) -> bool {
-    let board = desk.board.borrow();
+fn has_free(desk: &ServiceContext, now: Moment, targets: &[TargetId]) -> bool {
+    let board = desk.targets.borrow();
     let limits = desk.limits.board.borrow();
     let mut free = targets.iter().filter(|id| !limits.state(id).needs_permit());
     free.any(|id| !board.is_paused(now, id))
--- a/packages/turnford-serve/src/limit_watch.rs
+++ b/packages/turnford-serve/src/limit_watch.rs
@@ -13,7 +13,7 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::fanout::ANSWER_LIMIT;
 use crate::leaving::ask_health;
 use crate::limit_news::own_news;
@@ -33,7 +33,7 @@
 pub(crate) async fn follow_limits(traffic: Rc<Traffic>) {
     loop {
         Timer::after(COMPARE_PAUSE).await;
-        for desk in traffic.all_desks() {
+        for desk in traffic.all_services() {
             keep_division(&traffic, &desk);
         }
         note_gauges(&traffic);
@@ -44,7 +44,7 @@
 /// Compares what this node knows with what others know.
 fn compare(traffic: &Rc<Traffic>) {
     let is_new = traffic.shared.now() < START_SPAN;
-    let desks = traffic.all_desks();
+    let desks = traffic.all_services();
     let compared = desks
         .iter()
         .filter(|desk| is_new || desk.limits.is_divided.get());
@@ -52,7 +52,7 @@
     if marks.is_empty() {
         return;
     }
-    let divides = |desk: &Rc<ServiceDesk>| {
+    let divides = |desk: &Rc<ServiceContext>| {
         let mut division = desk.limits.division.borrow_mut();
         division.divider().is_some()
     };
@@ -74,11 +74,11 @@
         return;
     };
     for news in &updates {
-        if let Some(desk) = traffic.desk(&news.service) {
+        if let Some(desk) = traffic.service(&news.service) {
             take_limits(&desk.limits, news);
         }
     }
-    let desks = behind.iter().filter_map(|service| traffic.desk(service));
+    let desks = behind.iter().filter_map(|service| traffic.service(service));
     let news: Vec<LimitUpdate> = desks.filter_map(|desk| own_news(&desk.limits)).collect();
     if !news.is_empty() {
         let request = WorkRequest::Limits(news);
@@ -91,7 +91,7 @@
     let mut updates = Vec::new();
     let mut behind = Vec::new();
     for mark in marks {
-        let Some(desk) = traffic.desk(&mark.service) else {
+        let Some(desk) = traffic.service(&mark.service) else {
             continue;
         };
         let own = desk.limits.mark();
@@ -109,7 +109,7 @@
 }
 
 /// Does what a divider does without being asked.
-fn keep_division(traffic: &Rc<Traffic>, desk: &Rc<ServiceDesk>) {
+fn keep_division(traffic: &Rc<Traffic>, desk: &Rc<ServiceContext>) {
     let now = traffic.shared.now();
     let limits = &desk.limits;
     let mut division = limits.division.borrow_mut();
@@ -126,7 +126,7 @@
         limits.is_divided.set(false);
     }
     for target in idle {
-        let listed = desk.board.borrow().get(&target).cloned();
+        let listed = desk.targets.borrow().get(&target).cloned();
         if let Some(target) = listed.filter(|target| !target.leaving) {
             limits.add_permit(&target.id, now);
             let ask = ask_health(traffic.clone(), desk.clone(), target);
@@ -140,7 +140,7 @@
     let mut targets = 0;
     let mut rate = 0.0;
     let mut waiting = 0;
-    for desk in traffic.all_desks() {
+    for desk in traffic.all_services() {
         targets += desk.limits.board.borrow().limited().count();
         if let Some(divider) = desk.limits.division.borrow_mut().divider() {
             let (given, line) = divider.load(now);
--- a/packages/turnford-serve/src/line.rs
+++ b/packages/turnford-serve/src/line.rs
@@ -12,16 +12,16 @@
 use turnford_policy::Moment;
 
 /// Place in a line: ranks of the account and the route, when the answer is due, and the order of coming.
-pub(crate) type LineKey = (ClassRank, ClassRank, Moment, u64);
+pub(crate) type QueueKey = (ClassRank, ClassRank, Moment, u64);
 
 /// The line of one service.
 #[derive(Default)]
-pub(crate) struct WaitLine {
-    waiting: RefCell<BTreeMap<LineKey, Sender<()>>>,
+pub(crate) struct WaitQueue {
+    waiting: RefCell<BTreeMap<QueueKey, Sender<()>>>,
     next: Cell<u64>,
 }
 
-impl WaitLine {
+impl WaitQueue {
     /// Tells whether nobody waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.waiting.borrow().is_empty()
@@ -34,13 +34,17 @@
     }
 
     /// Adds a request; it leaves when what is returned is dropped.
-    pub(crate) fn enter(self: &Rc<Self>, ranks: (ClassRank, ClassRank), due: Moment) -> LinePlace {
+    pub(crate) fn enter(
+        self: &Rc<Self>,
+        ranks: (ClassRank, ClassRank),
+        due: Moment,
+    ) -> QueuePosition {
         let number = self.next.get();
         self.next.set(number + 1);
         let key = (ranks.0, ranks.1, due, number);
         let (wake, woken) = async_channel::bounded(1);
         self.waiting.borrow_mut().insert(key, wake);
-        LinePlace {
+        QueuePosition {
             line: self.clone(),
             key,
             woken,
@@ -57,13 +61,13 @@
 }
 
 /// A request's place in a line.
-pub(crate) struct LinePlace {
-    line: Rc<WaitLine>,
-    key: LineKey,
+pub(crate) struct QueuePosition {
+    line: Rc<WaitQueue>,
+    key: QueueKey,
     woken: Receiver<()>,
 }
 
-impl LinePlace {
+impl QueuePosition {
     /// Returns how many go before.
     pub(crate) fn ahead(&self) -> usize {
         self.line.waiting.borrow().range(..self.key).count()
@@ -76,7 +80,7 @@
     }
 }
 
-impl Drop for LinePlace {
+impl Drop for QueuePosition {
     fn drop(&mut self) {
         self.line.waiting.borrow_mut().remove(&self.key);
         self.line.wake_first();
--- a/packages/turnford-serve/src/node.rs
+++ b/packages/turnford-serve/src/node.rs
@@ -36,8 +36,8 @@
 use crate::metrics::ServeMetrics;
 use crate::shared::RouteView;
 use crate::shared::ServeShared;
+use crate::traffic::close_idle_connections;
 use crate::traffic::follow_changes;
-use crate::traffic::sweep_links;
 use crate::traffic::Traffic;
 use crate::work::serve_work;
 
@@ -237,7 +237,9 @@
     executor
         .spawn(follow_changes(traffic.clone(), signals.changed))
         .detach();
-    executor.spawn(sweep_links(traffic.clone())).detach();
+    executor
+        .spawn(close_idle_connections(traffic.clone()))
+        .detach();
     executor
         .spawn(serve_work(traffic.clone(), listeners.work))
         .detach();
--- a/packages/turnford-serve/src/opening.rs
+++ b/packages/turnford-serve/src/opening.rs
@@ -10,9 +10,9 @@
 use turnford_policy::Moment;
 use turnford_policy::TargetId;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::forward::RETRY_AFTER;
-use crate::line::LinePlace;
+use crate::line::QueuePosition;
 use crate::record::RequestRecord;
 use crate::traffic::Traffic;
 
@@ -28,7 +28,7 @@
 
 /// Why a request does not wait for a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OpeningFault {
+pub(crate) enum AvailabilityError {
     /// No target is left that does not leave.
     Nowhere,
     /// Its time is over before one takes it; when to come back.
@@ -43,10 +43,10 @@
 pub(crate) fn check_opening(
     traffic: &Traffic,
     record: &RequestRecord,
-    desk: &ServiceDesk,
-) -> Result<(), OpeningFault> {
+    desk: &ServiceContext,
+) -> Result<(), AvailabilityError> {
     let now = traffic.shared.now();
-    if desk.line.is_empty() && desk.board.borrow().has_open(now, &[]) {
+    if desk.line.is_empty() && desk.targets.borrow().has_open(now, &[]) {
         return Ok(());
     }
     let ranks = (record.rank, record.route.rank);
@@ -63,12 +63,12 @@
 pub(crate) async fn wait_turn(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     tried: &[TargetId],
-) -> Result<Option<LinePlace>, OpeningFault> {
+) -> Result<Option<QueuePosition>, AvailabilityError> {
     let has_open = || {
         let now = traffic.shared.now();
-        desk.board.borrow().has_open(now, tried)
+        desk.targets.borrow().has_open(now, tried)
     };
     if desk.line.is_empty() && has_open() {
         return Ok(None);
@@ -102,26 +102,28 @@
 fn forecast_turn(
     traffic: &Traffic,
     record: &RequestRecord,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     tried: &[TargetId],
     ahead: usize,
-) -> Result<Moment, OpeningFault> {
+) -> Result<Moment, AvailabilityError> {
     let now = traffic.shared.now();
-    let board = desk.board.borrow();
-    let opening = board.opens_at(now, tried).ok_or(OpeningFault::Nowhere)?;
+    let board = desk.targets.borrow();
+    let opening = board
+        .opens_at(now, tried)
+        .ok_or(AvailabilityError::Nowhere)?;
     let last = record.last_span.get();
     let rounds = ahead as f64 / f64::from(board.total_slots(tried).max(1));
     let turn = opening.saturating_add(last.mul_f64(rounds));
     if turn.saturating_add(last) <= record.serve_by() {
         return Ok(opening);
     }
-    Err(OpeningFault::TooLate(back_span(traffic, turn)))
+    Err(AvailabilityError::TooLate(back_span(traffic, turn)))
 }
 
 /// Returns when clients should come back that no target took.
-pub(crate) fn return_span(traffic: &Traffic, desk: &ServiceDesk) -> Duration {
+pub(crate) fn return_span(traffic: &Traffic, desk: &ServiceContext) -> Duration {
     let now = traffic.shared.now();
-    let opening = desk.board.borrow().opens_at(now, &[]);
+    let opening = desk.targets.borrow().opens_at(now, &[]);
     opening.map_or(RETRY_AFTER, |at| back_span(traffic, at))
 }
 
@@ -129,6 +131,6 @@
 /// together come back one after the other.
 fn back_span(traffic: &Traffic, at: Moment) -> Duration {
     let left = at.saturating_sub(traffic.shared.now()).min(LONGEST_BACK);
-    let spread = left.mul_f64(RETURN_SPREAD * traffic.draw());
+    let spread = left.mul_f64(RETURN_SPREAD * traffic.random());
     (left + spread).max(RETRY_AFTER)
 }
--- a/packages/turnford-serve/src/outlook.rs
+++ b/packages/turnford-serve/src/outlook.rs
@@ -24,7 +24,7 @@
 use crate::request::MOVE_SPAN;
 use crate::stages::forecast_alone;
 use crate::stages::least_span;
-use crate::stages::StageFault;
+use crate::stages::StageError;
 use crate::traffic::Traffic;
 
 /// Time by which a stage may outlast its forecast before that is renewed: news of what others did is
@@ -37,7 +37,7 @@
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
     flow: &AdmittedFlow,
-) -> StageFault {
+) -> StageError {
     loop {
         wait_overdue(traffic, flow).await;
         let forecast = renew(traffic, record, flow).await;
@@ -53,11 +53,11 @@
             } else {
                 // Those that are refused together do not come back together.
                 let room = record.route.latency_objective.saturating_sub(last);
-                let spread = 1.0 + traffic.draw();
+                let spread = 1.0 + traffic.random();
                 let back = forecast.end().saturating_sub(room).mul_f64(spread);
                 back.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
             };
-            return StageFault::Hopeless { back_after };
+            return StageError::Hopeless { back_after };
         }
         flow.expect(now, &forecast);
     }
@@ -83,7 +83,7 @@
 async fn renew(traffic: &Rc<Traffic>, record: &RequestRecord, flow: &AdmittedFlow) -> FlowForecast {
     let is_open = |stage: usize| flow.is_open(stage);
     let least = least_span(traffic, record, is_open) + record.last_span.get();
-    let is_late = traffic.shared.now() + least > record.begun + record.route.latency_objective;
+    let is_late = traffic.shared.now() + least > record.started_at + record.route.latency_objective;
     let mut forecast = None;
     if let Some((placer, ticket)) = &flow.admitted {
         forecast = match placer.address {
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -24,8 +24,8 @@
 
 use crate::batch::ask_report;
 use crate::batch::run_batch;
-use crate::desk::ServiceDesk;
-use crate::inputs::InputHold;
+use crate::desk::ServiceContext;
+use crate::inputs::InputTracker;
 use crate::limit_news::report_limit;
 use crate::limits::PermitEnd;
 use crate::release::release_results;
@@ -49,19 +49,19 @@
 }
 
 /// Who waits for a piece.
-struct PieceTaker {
+struct PieceWaiter {
     outcome: Sender<PieceOutcome>,
-    inputs: Rc<InputHold>,
+    inputs: Rc<InputTracker>,
     /// Whether the piece was noted as having read its inputs.
     has_read: bool,
 }
 
 /// The pieces that wait for the targets of one cell.
-pub(crate) struct PieceDesk {
+pub(crate) struct CellQueue {
     pub(crate) board: RefCell<BatchScheduler>,
     /// Targets of the cell.
     pub(crate) targets: RefCell<Vec<TargetSpec>>,
-    takers: RefCell<HashMap<PieceTicket, PieceTaker>>,
+    takers: RefCell<HashMap<PieceTicket, PieceWaiter>>,
     /// When a call gave no result last.
     pub(crate) last_fault: Cell<Option<Moment>>,
     /// When the next look is due though nothing happens until then.
@@ -70,7 +70,7 @@
     asked: RefCell<BTreeSet<TargetId>>,
 }
 
-impl PieceDesk {
+impl CellQueue {
     pub(crate) fn new(spec: BatchSpec) -> Rc<Self> {
         Rc::new(Self {
             board: RefCell::new(BatchScheduler::new(spec)),
@@ -105,18 +105,18 @@
 #[derive(Clone)]
 pub(crate) struct PieceCell {
     pub(crate) traffic: Rc<Traffic>,
-    pub(crate) desk: Rc<ServiceDesk>,
-    pub(crate) pieces: Rc<PieceDesk>,
+    pub(crate) desk: Rc<ServiceContext>,
+    pub(crate) pieces: Rc<CellQueue>,
 }
 
 /// A piece that a request waits for; dropping it withdraws the piece.
-pub(crate) struct PieceWait {
+pub(crate) struct PendingPiece {
     cell: PieceCell,
     ticket: PieceTicket,
     outcome: Receiver<PieceOutcome>,
 }
 
-impl PieceWait {
+impl PendingPiece {
     /// Waits for the end of the piece.
     pub(crate) async fn outcome(&self) -> PieceOutcome {
         let outcome = self.outcome.recv().await;
@@ -124,7 +124,7 @@
     }
 }
 
-impl Drop for PieceWait {
+impl Drop for PendingPiece {
     fn drop(&mut self) {
         let pieces = &self.cell.pieces;
         pieces.takers.borrow_mut().remove(&self.ticket);
@@ -138,14 +138,18 @@
 
 impl PieceCell {
     /// Puts pieces into the queue.
-    pub(crate) fn submit(&self, works: Vec<PieceWork>, inputs: &Rc<InputHold>) -> Vec<PieceWait> {
+    pub(crate) fn submit(
+        &self,
+        works: Vec<PieceWork>,
+        inputs: &Rc<InputTracker>,
+    ) -> Vec<PendingPiece> {
         let mut waits = Vec::with_capacity(works.len());
         for mut work in works {
             let verdict = self.verdict(&work);
             work.is_suspect = verdict != CrashVerdict::Sound;
             let (sender, outcome) = async_channel::bounded(1);
             let ticket = self.pieces.board.borrow_mut().push(work);
-            let taker = PieceTaker {
+            let taker = PieceWaiter {
                 outcome: sender,
                 inputs: inputs.clone(),
                 has_read: false,
@@ -155,7 +159,7 @@
                 // The taker is there and waits.
                 let _ = self.pieces.tell(ticket, PieceOutcome::Failed(CRASHES));
             }
-            waits.push(PieceWait {
+            waits.push(PendingPiece {
                 cell: self.clone(),
                 ticket,
                 outcome,
@@ -185,7 +189,7 @@
         let now = self.traffic.shared.now();
         self.ask_unknown(now);
         let (plans, late) = {
-            let board = self.desk.board.borrow();
+            let board = self.desk.targets.borrow();
             let targets = self.pieces.targets.borrow();
             let mut pieces = self.pieces.board.borrow_mut();
             pieces.plan(now, &board, &self.desk.awake_targets(now, &targets))
@@ -249,7 +253,7 @@
 
     fn wants_permit(&self, now: Moment, target: &TargetSpec) -> bool {
         let limits = self.desk.limits.board.borrow();
-        let board = self.desk.board.borrow();
+        let board = self.desk.targets.borrow();
         let is_limited = !limits.is_open(now, &target.id) && limits.may_open(now, &target.id);
         let is_open = board.is_open(now, &target.id) && !board.is_paused(now, &target.id);
         let has_use = || self.pieces.board.borrow().has_work_for(now, &target.id);
@@ -280,7 +284,7 @@
         if self.pieces.board.borrow().queue_len() == 0 {
             return None;
         }
-        let board = self.desk.board.borrow();
+        let board = self.desk.targets.borrow();
         let targets = self.pieces.targets.borrow();
         let ends = targets.iter();
         let ends = ends.filter_map(|target| board.backoff_until(now, &target.id));
--- a/packages/turnford-serve/src/placed_run.rs
+++ b/packages/turnford-serve/src/placed_run.rs
@@ -9,9 +9,9 @@
 use turnford_policy::TargetSpec;
 use turnford_wire::RunUpdate;
 
-use crate::desk::ServiceDesk;
-use crate::line::LinePlace;
-use crate::progress::PlacerLink;
+use crate::desk::ServiceContext;
+use crate::line::QueuePosition;
+use crate::progress::PlacerHandle;
 use crate::traffic::Traffic;
 
 /// A place for a request; its end is told when this is dropped.
@@ -20,13 +20,13 @@
     /// Whether targets crashed while they ran such a request, and it is the only such one there.
     pub(crate) is_alone: bool,
     /// Its place in the line, where it waited for a target, until it is sent.
-    pub(crate) turn: Option<LinePlace>,
-    pub(crate) run: Option<NotedRun>,
+    pub(crate) turn: Option<QueuePosition>,
+    pub(crate) run: Option<RunRegistration>,
 }
 
 /// The placement of a request, where a node noted it.
-pub(crate) struct NotedRun {
-    pub(crate) placer: PlacerLink,
+pub(crate) struct RunRegistration {
+    pub(crate) placer: PlacerHandle,
     pub(crate) ticket: RunTicket,
     pub(crate) placed: Moment,
 }
@@ -50,14 +50,14 @@
     }
 }
 
-impl Drop for NotedRun {
+impl Drop for RunRegistration {
     fn drop(&mut self) {
         self.placer.tell(RunUpdate::Ended(self.ticket));
     }
 }
 
 /// A place as it was found now.
-pub(crate) enum FoundPlace {
+pub(crate) enum PlacementAttempt {
     Placed(Box<PlacedRun>),
     Nowhere,
     Held,
@@ -69,12 +69,12 @@
 /// Returns the placement that a node, `None` for this one, noted.
 pub(crate) fn note_run(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     address: Option<SocketAddr>,
     ticket: RunTicket,
-) -> NotedRun {
-    NotedRun {
-        placer: PlacerLink {
+) -> RunRegistration {
+    RunRegistration {
+        placer: PlacerHandle {
             traffic: traffic.clone(),
             desk: desk.clone(),
             address,
--- a/packages/turnford-serve/src/placement.rs
+++ b/packages/turnford-serve/src/placement.rs
@@ -20,16 +20,16 @@
 use turnford_policy::RequestDigest;
 use turnford_policy::TargetId;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::forward::RETRY_AFTER;
 use crate::limit_place::choose_limited;
 use crate::limit_place::LimitedPlace;
-use crate::line::LinePlace;
+use crate::line::QueuePosition;
 use crate::opening::wait_turn;
-use crate::opening::OpeningFault;
+use crate::opening::AvailabilityError;
 use crate::placed_run::note_run;
-use crate::placed_run::FoundPlace;
 use crate::placed_run::PlacedRun;
+use crate::placed_run::PlacementAttempt;
 use crate::placer::ask_placer;
 use crate::record::RequestRecord;
 use crate::traffic::Traffic;
@@ -40,15 +40,15 @@
 use crate::trial::HOLD_SPAN;
 
 /// Returns the hall that a request's last target will probably be in.
-pub(crate) fn plan_hall(desk: &ServiceDesk, parts: &[PromptSegment]) -> Option<Arc<str>> {
-    let board = desk.board.borrow();
+pub(crate) fn plan_hall(desk: &ServiceContext, parts: &[PromptSegment]) -> Option<Arc<str>> {
+    let board = desk.targets.borrow();
     let home = PromptAffinity::new(parts, board.open_targets().map(|target| &target.id));
     let target = board.get(home.preferred()?)?;
     Some(target.hall.clone())
 }
 
 /// Where a request may run.
-pub(crate) enum PlaceEnd {
+pub(crate) enum PlacementOutcome {
     /// At a target.
     Placed(Box<PlacedRun>),
     /// No target can take it.
@@ -62,7 +62,7 @@
 }
 
 /// What a request wants of its place.
-pub(crate) struct PlaceWish<'a> {
+pub(crate) struct PlacementOptions<'a> {
     /// Bytes of its inputs in each hall.
     pub(crate) inputs: &'a [(Arc<str>, u64)],
     /// Targets that it was not served by.
@@ -75,9 +75,9 @@
 pub(crate) async fn place_request(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceDesk>,
-    wish: &PlaceWish<'_>,
-) -> PlaceEnd {
+    desk: &Rc<ServiceContext>,
+    wish: &PlacementOptions<'_>,
+) -> PlacementOutcome {
     let tried = wish.tried;
     let mut need = PlacementRequest {
         segments: record.facts.segments.clone(),
@@ -85,7 +85,7 @@
         max_output_tokens: record.facts.max_output_tokens,
         inputs: wish.inputs.to_vec(),
         tried: tried.to_vec(),
-        due: record.begun + record.route.latency_objective,
+        due: record.started_at + record.route.latency_objective,
         deadline: record.deadline,
     };
     let turn = turn_ask(traffic, record, wish);
@@ -94,22 +94,24 @@
     loop {
         let line_place = match find_turn(traffic, record, desk, wish).await {
             Ok(place) => place,
-            Err(OpeningFault::Nowhere) => return PlaceEnd::Nowhere,
-            Err(OpeningFault::TooLate(back_after)) => return PlaceEnd::TooLate(back_after),
+            Err(AvailabilityError::Nowhere) => return PlacementOutcome::Nowhere,
+            Err(AvailabilityError::TooLate(back_after)) => {
+                return PlacementOutcome::TooLate(back_after)
+            }
         };
         // The node that places does not know which targets want rest of this one.
         let now = traffic.shared.now();
-        let closed = desk.board.borrow().closed_targets(now);
+        let closed = desk.targets.borrow().closed_targets(now);
         need.tried = [tried, &closed[..]].concat();
         match place_once(traffic, record, desk, &need, &turn).await {
-            FoundPlace::Placed(mut placed) => {
+            PlacementAttempt::Placed(mut placed) => {
                 placed.turn = line_place;
-                return PlaceEnd::Placed(placed);
+                return PlacementOutcome::Placed(placed);
             }
-            FoundPlace::Later(_) if traffic.shared.now() > turn.latest => {
-                return PlaceEnd::Full(RETRY_AFTER);
+            PlacementAttempt::Later(_) if traffic.shared.now() > turn.latest => {
+                return PlacementOutcome::Full(RETRY_AFTER);
             }
-            FoundPlace::Later(span) => {
+            PlacementAttempt::Later(span) => {
                 drop(line_place);
                 if !std::mem::replace(&mut is_noted, true) {
                     record.note(format_args!("waits for its turn, targets have limits"));
@@ -117,22 +119,22 @@
                 Timer::after(span).await;
                 continue;
             }
-            FoundPlace::Full(back_after) => return PlaceEnd::Full(back_after),
-            FoundPlace::Nowhere => return PlaceEnd::Nowhere,
-            FoundPlace::Refused(span) => {
-                return PlaceEnd::Suspect(SuspectRefusal::crashes_targets(span));
+            PlacementAttempt::Full(back_after) => return PlacementOutcome::Full(back_after),
+            PlacementAttempt::Nowhere => return PlacementOutcome::Nowhere,
+            PlacementAttempt::Refused(span) => {
+                return PlacementOutcome::Suspect(SuspectRefusal::crashes_targets(span));
             }
-            FoundPlace::Held if traffic.shared.now() >= held_until => {
-                return PlaceEnd::Suspect(SuspectRefusal::on_trial());
+            PlacementAttempt::Held if traffic.shared.now() >= held_until => {
+                return PlacementOutcome::Suspect(SuspectRefusal::on_trial());
             }
-            FoundPlace::Held => {}
+            PlacementAttempt::Held => {}
         }
         Timer::after(HOLD_PAUSE).await;
     }
 }
 
 /// Returns the request's claim to a turn where all targets have limits.
-fn turn_ask(traffic: &Traffic, record: &RequestRecord, wish: &PlaceWish<'_>) -> TurnAsk {
+fn turn_ask(traffic: &Traffic, record: &RequestRecord, wish: &PlacementOptions<'_>) -> TurnAsk {
     let now = traffic.shared.now();
     let mut hasher = SipHasher13::new();
     hasher.write(record.facts.attempt.as_bytes());
@@ -149,31 +151,31 @@
 async fn find_turn(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceDesk>,
-    wish: &PlaceWish<'_>,
-) -> Result<Option<LinePlace>, OpeningFault> {
+    desk: &Rc<ServiceContext>,
+    wish: &PlacementOptions<'_>,
+) -> Result<Option<QueuePosition>, AvailabilityError> {
     if wish.may_wait {
         return wait_turn(traffic, record, desk, wish.tried).await;
     }
     let now = traffic.shared.now();
-    let has_open = desk.board.borrow().has_open(now, wish.tried);
-    has_open.then_some(None).ok_or(OpeningFault::Nowhere)
+    let has_open = desk.targets.borrow().has_open(now, wish.tried);
+    has_open.then_some(None).ok_or(AvailabilityError::Nowhere)
 }
 
 async fn place_once(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     need: &PlacementRequest,
     turn: &TurnAsk,
-) -> FoundPlace {
+) -> PlacementAttempt {
     let digest = record.digest.get();
     let now = traffic.shared.now();
     let is_sound = traffic.crashes.verdict(now, &digest) == CrashVerdict::Sound;
     if is_sound && desk.spec.borrow().engine.is_none() {
         if let Ok(target) = choose_limited(traffic, desk, &need.tried).await {
-            return target.map_or(FoundPlace::Nowhere, |target| {
-                FoundPlace::Placed(Box::new(PlacedRun {
+            return target.map_or(PlacementAttempt::Nowhere, |target| {
+                PlacementAttempt::Placed(Box::new(PlacedRun {
                     target,
                     is_alone: false,
                     turn: None,
@@ -184,7 +186,7 @@
     }
     if let Some(placer) = desk.limits.placer() {
         if let Some(found) = ask_placer(traffic, desk, digest, need, turn, placer).await {
-            if matches!(found, FoundPlace::Placed(_)) {
+            if matches!(found, PlacementAttempt::Placed(_)) {
                 record.note(format_args!("placed by {placer}"));
             }
             return found;
@@ -205,15 +207,15 @@
 /// Places a request by what this node knows.
 fn place_here(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     digest: RequestDigest,
     need: &PlacementRequest,
     turn: &TurnAsk,
-) -> FoundPlace {
+) -> PlacementAttempt {
     let (place, is_alone) = match place_checked(traffic, desk, digest, need, turn) {
         CheckedPlace::Found { place, is_alone } => (place, is_alone),
-        CheckedPlace::Held => return FoundPlace::Held,
-        CheckedPlace::Refused(span) => return FoundPlace::Refused(span),
+        CheckedPlace::Held => return PlacementAttempt::Held,
+        CheckedPlace::Refused(span) => return PlacementAttempt::Refused(span),
     };
     match place {
         LimitedPlace::At {
@@ -224,15 +226,15 @@
             if has_permit {
                 desk.limits.add_permit(&target.id, traffic.shared.now());
             }
-            FoundPlace::Placed(Box::new(PlacedRun {
+            PlacementAttempt::Placed(Box::new(PlacedRun {
                 target,
                 is_alone,
                 turn: None,
                 run: Some(note_run(traffic, desk, None, ticket)),
             }))
         }
-        LimitedPlace::Later(span) => FoundPlace::Later(span),
-        LimitedPlace::Full(span) => FoundPlace::Full(span),
-        LimitedPlace::Nowhere => FoundPlace::Nowhere,
+        LimitedPlace::Later(span) => PlacementAttempt::Later(span),
+        LimitedPlace::Full(span) => PlacementAttempt::Full(span),
+        LimitedPlace::Nowhere => PlacementAttempt::Nowhere,
     }
 }
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -17,14 +17,14 @@
 use turnford_wire::WorkRequest;
 
 use crate::admission::short_millis;
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::limit_news::report_limit;
 use crate::limit_place::LimitedPlace;
 use crate::limits::DOUBT_PAUSE;
 use crate::limits::PLACE_LIMIT;
 use crate::placed_run::note_run;
-use crate::placed_run::FoundPlace;
 use crate::placed_run::PlacedRun;
+use crate::placed_run::PlacementAttempt;
 use crate::traffic::Traffic;
 use crate::trial::place_checked;
 use crate::trial::CheckedPlace;
@@ -36,12 +36,12 @@
 /// Asks the node that places for all; `None` if it gives no answer, or one that can't be used.
 pub(crate) async fn ask_placer(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     digest: RequestDigest,
     need: &PlacementRequest,
     turn: &TurnAsk,
     placer: SocketAddr,
-) -> Option<FoundPlace> {
+) -> Option<PlacementAttempt> {
     let now = traffic.shared.now();
     let request = WorkRequest::Place(place_ask(desk, now, digest, need, turn));
     let reply = traffic.peers.call(placer, &request, PLACE_LIMIT).await;
@@ -52,7 +52,7 @@
 }
 
 fn place_ask(
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     now: Moment,
     digest: RequestDigest,
     need: &PlacementRequest,
@@ -94,11 +94,11 @@
 /// Takes the answer to an ask that was made at a moment; `None` if it can't be used.
 fn take_place(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     asked_at: Moment,
     placer: SocketAddr,
     reply: PlaceReply,
-) -> Option<FoundPlace> {
+) -> Option<PlacementAttempt> {
     let span = |millis: u32| Duration::from_millis(u64::from(millis));
     match reply {
         PlaceReply::Assigned {
@@ -112,7 +112,7 @@
             }
             let run = note_run(traffic, desk, Some(placer), ticket);
             // The other node may not know yet that the target leaves.
-            let target = desk.board.borrow().get(&id).cloned();
+            let target = desk.targets.borrow().get(&id).cloned();
             let target = target.filter(|target| !target.leaving)?;
             if !desk
                 .limits
@@ -122,32 +122,32 @@
             {
                 // The other node has not heard of the limit, or this one not of its end.
                 report_limit(&desk.limits, &target);
-                return Some(FoundPlace::Later(HOLD_PAUSE));
+                return Some(PlacementAttempt::Later(HOLD_PAUSE));
             }
-            Some(FoundPlace::Placed(Box::new(PlacedRun {
+            Some(PlacementAttempt::Placed(Box::new(PlacedRun {
                 target,
                 is_alone,
                 turn: None,
                 run: Some(run),
             })))
         }
-        PlaceReply::Wait { wait_ms } => Some(FoundPlace::Later(span(wait_ms))),
-        PlaceReply::Full { retry_after_ms } => Some(FoundPlace::Full(span(retry_after_ms))),
+        PlaceReply::Wait { wait_ms } => Some(PlacementAttempt::Later(span(wait_ms))),
+        PlaceReply::Full { retry_after_ms } => Some(PlacementAttempt::Full(span(retry_after_ms))),
         PlaceReply::Redirect(term) => {
             desk.limits.note_holder(&term);
-            Some(FoundPlace::Later(ELSEWHERE_PAUSE))
+            Some(PlacementAttempt::Later(ELSEWHERE_PAUSE))
         }
         PlaceReply::NoTarget => None,
-        PlaceReply::Held => Some(FoundPlace::Held),
-        PlaceReply::Refused { retry_after_ms } => {
-            Some(FoundPlace::Refused(Duration::from_millis(retry_after_ms)))
-        }
+        PlaceReply::Held => Some(PlacementAttempt::Held),
+        PlaceReply::Refused { retry_after_ms } => Some(PlacementAttempt::Refused(
+            Duration::from_millis(retry_after_ms),
+        )),
     }
 }
 
 /// Answers a request to place.
 pub(crate) fn answer_place(traffic: &Rc<Traffic>, ask: PlaceRequest) -> WorkReply {
-    let Some(desk) = traffic.desk(&ask.service) else {
+    let Some(desk) = traffic.service(&ask.service) else {
         return WorkReply::Refused;
     };
     if desk.limits.board.borrow().has_limits() {
--- a/packages/turnford-serve/src/plain_choice.rs
+++ b/packages/turnford-serve/src/plain_choice.rs
@@ -3,7 +3,7 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Cost of a target in another hall against one request more in its queue.
@@ -14,16 +14,16 @@
 const OVER_COST: f64 = 1000.0;
 
 /// Chooses a target that is no engine, by what this node knows.
-pub(crate) fn choose_plain(
+pub(crate) fn choose_target(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     tried: &[TargetId],
 ) -> Option<TargetSpec> {
     let own_hall = &traffic.shared.settings.hall;
     let sharers = traffic.shared.view.load().sharers();
     let limit = desk.spec.borrow().connection_limit as f64 / sharers;
     let now = traffic.shared.now();
-    let board = desk.board.borrow();
+    let board = desk.targets.borrow();
     let cost = |target: &TargetSpec, load: f64| {
         let is_near = target.hall == *own_hall;
         let hall = if is_near { 0.0 } else { HALL_COST };
--- a/packages/turnford-serve/src/progress.rs
+++ b/packages/turnford-serve/src/progress.rs
@@ -12,7 +12,7 @@
 use turnford_wire::RunUpdate;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Time in which news of placed requests is gathered.
@@ -22,14 +22,14 @@
 const NEWS_LIMIT: Duration = Duration::from_millis(500);
 
 /// The node that admits and places a service's requests, to be told what became of one.
-pub(crate) struct PlacerLink {
+pub(crate) struct PlacerHandle {
     pub(crate) traffic: Rc<Traffic>,
-    pub(crate) desk: Rc<ServiceDesk>,
+    pub(crate) desk: Rc<ServiceContext>,
     /// Its address, `None` for this node.
     pub(crate) address: Option<SocketAddr>,
 }
 
-impl PlacerLink {
+impl PlacerHandle {
     pub(crate) fn tell(&self, news: RunUpdate) {
         match self.address {
             Some(placer) => {
@@ -49,14 +49,14 @@
 
 /// Answers news of placed requests.
 pub(crate) fn answer_progress(traffic: &Traffic, service: &str, news: &[RunUpdate]) {
-    if let Some(desk) = traffic.desk(service) {
+    if let Some(desk) = traffic.service(service) {
         for news in news {
             note_news(traffic, &desk, *news);
         }
     }
 }
 
-fn note_news(traffic: &Traffic, desk: &ServiceDesk, news: RunUpdate) {
+fn note_news(traffic: &Traffic, desk: &ServiceContext, news: RunUpdate) {
     let now = traffic.shared.now();
     let mut engines = desk.engines.borrow_mut();
     match news {
@@ -64,13 +64,13 @@
             let span = Duration::from_millis(u64::from(span));
             let slowness = engines.record_first_event(ticket, span);
             if let (Some(slowness), Some(target)) = (slowness, engines.target_of(ticket)) {
-                let mut board = desk.board.borrow_mut();
+                let mut board = desk.targets.borrow_mut();
                 board.record_slowness(now, target, slowness);
             }
         }
         RunUpdate::Refused(ticket) => {
             if let Some(target) = engines.target_of(ticket) {
-                desk.board.borrow_mut().record_refusal(now, target);
+                desk.targets.borrow_mut().record_refusal(now, target);
             }
         }
         RunUpdate::Ended(ticket) => {
--- a/packages/turnford-serve/src/record.rs
+++ b/packages/turnford-serve/src/record.rs
@@ -30,7 +30,7 @@
     pub(crate) account: Option<AccountId>,
     /// Rank: 0 goes first.
     pub(crate) rank: u8,
-    pub(crate) begun: Moment,
+    pub(crate) started_at: Moment,
     /// When the request must have its final answer.
     pub(crate) deadline: Moment,
     /// Hall of the target that the request will probably run at.
@@ -71,7 +71,7 @@
             route,
             account,
             rank,
-            begun,
+            started_at: begun,
             deadline,
             planned_hall: RefCell::default(),
             version,
@@ -95,7 +95,7 @@
     /// be running.
     pub(crate) fn serve_by(&self) -> Moment {
         let patience = self.route.first_event_timeout;
-        let client = patience.map(|patience| self.begun + patience);
+        let client = patience.map(|patience| self.started_at + patience);
         let ends = [client, self.shared.end_at()];
         let ends = ends.into_iter().flatten();
         ends.fold(self.deadline, Moment::min)
@@ -103,7 +103,7 @@
 
     /// Returns when its answer is due.
     pub(crate) fn due(&self) -> Moment {
-        self.begun + self.route.latency_objective
+        self.started_at + self.route.latency_objective
     }
 
     /// Returns the time until the deadline.
@@ -120,7 +120,11 @@
     pub(crate) fn note(&self, text: std::fmt::Arguments<'_>) {
         let mut story = self.story.borrow_mut();
         if story.len() < STORY_LIMIT {
-            let at = self.shared.now().saturating_sub(self.begun).as_millis();
+            let at = self
+                .shared
+                .now()
+                .saturating_sub(self.started_at)
+                .as_millis();
             // Writing to a string does not fail.
             let _ = write!(story, " [{at}ms {text}]");
         }
@@ -138,7 +142,7 @@
 
     /// Notes the first byte of the answer.
     pub(crate) fn note_head(&self) {
-        let time = self.shared.now().saturating_sub(self.begun);
+        let time = self.shared.now().saturating_sub(self.started_at);
         self.head.set(Some(time));
         self.shared
             .metrics
@@ -165,7 +169,7 @@
             return;
         }
         self.shared.running.fetch_sub(1, Ordering::SeqCst);
-        let time = self.shared.now().saturating_sub(self.begun);
+        let time = self.shared.now().saturating_sub(self.started_at);
         let account = self.account_name();
         self.shared.metrics.note_end(account, self.rank, code, time);
         let story = self.story.borrow();
--- a/packages/turnford-serve/src/release.rs
+++ b/packages/turnford-serve/src/release.rs
@@ -14,7 +14,7 @@
 
 use crate::call::call_target;
 use crate::call::CallPurpose;
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::gather::release_at_peer;
 use crate::traffic::Traffic;
 use crate::wait::wait_until;
@@ -82,7 +82,7 @@
     let Some(maker) = results.first().map(|result| result.maker.clone()) else {
         return;
     };
-    let Some(desk) = traffic.desk(&maker.service) else {
+    let Some(desk) = traffic.service(&maker.service) else {
         return;
     };
     let handles: Vec<String> = results.into_iter().map(|result| result.handle).collect();
@@ -97,7 +97,7 @@
         );
         return;
     }
-    traffic.note_released(&desk, &handles);
+    traffic.handle_released(&desk, &handles);
 }
 
 /// Waits for a call to a target with a limit, while more results are gathered; false if there is none before
@@ -106,7 +106,7 @@
     let Some(maker) = traffic.releaser.maker(place) else {
         return false;
     };
-    let Some(desk) = traffic.desk(&maker.service) else {
+    let Some(desk) = traffic.service(&maker.service) else {
         return false;
     };
     let until = traffic.shared.now() + kept_span(&desk);
@@ -118,7 +118,7 @@
 }
 
 /// Returns the time after which results go by themselves.
-fn kept_span(desk: &ServiceDesk) -> Duration {
+fn kept_span(desk: &ServiceContext) -> Duration {
     let batch = desk.spec.borrow().batch.clone();
     batch.map_or(Duration::ZERO, |batch| batch.result_ttl)
 }
@@ -126,14 +126,14 @@
 /// Waits until a target that wants rest takes calls again; false if its results go by themselves before.
 async fn wait_rest(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     maker: &TargetSpec,
     results: usize,
 ) -> bool {
     let latest = traffic.shared.now() + kept_span(desk);
     loop {
         let now = traffic.shared.now();
-        let rests_until = desk.board.borrow().backoff_until(now, &maker.id);
+        let rests_until = desk.targets.borrow().backoff_until(now, &maker.id);
         let Some(until) = rests_until else {
             return true;
         };
@@ -151,13 +151,13 @@
 
 async fn send_handles(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     maker: &TargetSpec,
     handles: &[String],
 ) -> Result<(), String> {
     let host = maker.address.to_string();
     let request = encode_release(&host, &maker.id, handles).map_err(|p| p.to_string())?;
-    let purpose = CallPurpose::Upkeep;
+    let purpose = CallPurpose::Maintenance;
     let answer = call_target(traffic, desk, maker, request, purpose, RELEASE_LIMIT).await;
     let answer = answer.map_err(|fault| format!("{fault:?}"))?;
     let read = answer.collect(traffic, ANSWER_LIMIT).await;
--- a/packages/turnford-serve/src/request.rs
+++ b/packages/turnford-serve/src/request.rs
@@ -21,21 +21,21 @@
 use turnford_policy::RouteSpec;
 
 use crate::admission::admit_flow;
-use crate::answer::own_answer;
-use crate::answer::AnswerBody;
-use crate::answer::RanState;
+use crate::answer::error_response;
+use crate::answer::RanStatus;
+use crate::answer::ResponseBody;
 use crate::forward::forward;
 use crate::forward::ForwardEnd;
 use crate::forward::ForwardJob;
 use crate::forward::RETRY_AFTER;
 use crate::opening::check_opening;
-use crate::opening::OpeningFault;
+use crate::opening::AvailabilityError;
 use crate::outlook::watch_outlook;
 use crate::placement::plan_hall;
 use crate::record::RequestRecord;
 use crate::shared::RouteView;
 use crate::stages::run_stages;
-use crate::stages::StageFault;
+use crate::stages::StageError;
 use crate::traffic::Traffic;
 use crate::trial::enter_suspect;
 use crate::trial::SuspectRefusal;
@@ -70,7 +70,7 @@
 pub(crate) async fn serve_request(
     traffic: Rc<Traffic>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let (parts, incoming) = request.into_parts();
     let view = traffic.current_view();
     let record = match admit_request(&traffic, &view, &parts) {
@@ -82,7 +82,7 @@
         Ok(body) => body,
         Err((code, reason)) => {
             record.end(code, reason);
-            return own_answer(&record.facts.attempt, code, RanState::No, reason, None);
+            return error_response(&record.facts.attempt, code, RanStatus::No, reason, None);
         }
     };
     record.digest.set(digest_of(&record, &parts, &body));
@@ -163,7 +163,7 @@
     RequestDigest::new(account, &host, path, body)
 }
 
-fn refuse(traffic: &Traffic, parts: &Parts, refusal: &EarlyRefusal) -> Response<AnswerBody> {
+fn refuse(traffic: &Traffic, parts: &Parts, refusal: &EarlyRefusal) -> Response<ResponseBody> {
     let attempt = decode_call(parts).map(|facts| facts.attempt);
     let attempt = attempt.unwrap_or_default();
     let view = traffic.shared.view.load();
@@ -181,10 +181,10 @@
     );
     let metrics = &traffic.shared.metrics;
     metrics.note_end("-", u8::MAX, refusal.code, Duration::ZERO);
-    own_answer(
+    error_response(
         &attempt,
         refusal.code,
-        RanState::No,
+        RanStatus::No,
         &refusal.reason,
         refusal.retry_after,
     )
@@ -216,9 +216,9 @@
     record: &Rc<RequestRecord>,
     parts: &Parts,
     body: &Bytes,
-) -> Response<AnswerBody> {
-    let service = record.route.draw_service(traffic.draw());
-    let desk = service.and_then(|service| traffic.desk(service));
+) -> Response<ResponseBody> {
+    let service = record.route.draw_service(traffic.random());
+    let desk = service.and_then(|service| traffic.service(service));
     let Some(desk) = desk else {
         let reason = "the service is not known";
         return refuse_admitted(record, ResultCode::NoTarget, reason, RETRY_AFTER);
@@ -241,18 +241,18 @@
         let stopped = async { Err(wait_ending(traffic).await) };
         let results = match stages.or(given_up).or(stopped).await {
             Ok(results) => results,
-            Err(StageFault::InputGone) => {
+            Err(StageError::InputGone) => {
                 record.note(format_args!("a result was gone"));
                 continue;
             }
-            Err(StageFault::Failed(reason)) => {
+            Err(StageError::Failed(reason)) => {
                 return refuse_admitted(record, ResultCode::Shed, reason, RETRY_AFTER);
             }
-            Err(StageFault::CrashesTargets(back_after)) => {
+            Err(StageError::CrashesTargets(back_after)) => {
                 let refusal = SuspectRefusal::crashes_targets(back_after);
                 return refuse_suspect(record, &refusal);
             }
-            Err(StageFault::Hopeless { back_after }) => {
+            Err(StageError::Hopeless { back_after }) => {
                 let reason = "its stages can't be done while its client waits";
                 return refuse_admitted(record, ResultCode::Shed, reason, back_after);
             }
@@ -275,14 +275,14 @@
 }
 
 /// Waits until the node is about to end.
-async fn wait_ending(traffic: &Traffic) -> StageFault {
+async fn wait_ending(traffic: &Traffic) -> StageError {
     // Nothing is ever sent; the channel's end is the word.
     let _ = traffic.ending.recv().await;
-    StageFault::Failed("the node stops")
+    StageError::Failed("the node stops")
 }
 
 /// Refuses a request whose stages would be late.
-fn refuse_late(record: &RequestRecord, refusal: &FlowRefusal) -> Response<AnswerBody> {
+fn refuse_late(record: &RequestRecord, refusal: &FlowRefusal) -> Response<ResponseBody> {
     record.note(format_args!("late by {}ms", refusal.lateness.as_millis()));
     let reason = "the queues of its stages are too long";
     let back_after = refusal.retry_after.max(RETRY_AFTER);
@@ -293,29 +293,35 @@
 pub(crate) fn refuse_suspect(
     record: &RequestRecord,
     refusal: &SuspectRefusal,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     refuse_admitted(record, refusal.code, refusal.reason(), refusal.back_after)
 }
 
 /// Refuses a request that no target takes in time.
-fn refuse_closed(record: &RequestRecord, fault: OpeningFault) -> Response<AnswerBody> {
+fn refuse_closed(record: &RequestRecord, fault: AvailabilityError) -> Response<ResponseBody> {
     match fault {
-        OpeningFault::Nowhere => {
+        AvailabilityError::Nowhere => {
             let reason = "no target is left";
             refuse_admitted(record, ResultCode::NoTarget, reason, RETRY_AFTER)
         }
-        OpeningFault::TooLate(back_after) => refuse_resting(record, back_after),
+        AvailabilityError::TooLate(back_after) => refuse_resting(record, back_after),
     }
 }
 
 /// Refuses a request whose targets all want rest for longer than it has time.
-pub(crate) fn refuse_resting(record: &RequestRecord, back_after: Duration) -> Response<AnswerBody> {
+pub(crate) fn refuse_resting(
+    record: &RequestRecord,
+    back_after: Duration,
+) -> Response<ResponseBody> {
     let reason = "all targets want rest";
     refuse_admitted(record, ResultCode::NoTarget, reason, back_after)
 }
 
 /// Refuses a request whose targets' limits leave no call for it in time.
-pub(crate) fn refuse_limited(record: &RequestRecord, back_after: Duration) -> Response<AnswerBody> {
+pub(crate) fn refuse_limited(
+    record: &RequestRecord,
+    back_after: Duration,
+) -> Response<ResponseBody> {
     let reason = "the limits of its targets leave no call for it in time";
     let back_after = back_after.max(RETRY_AFTER);
     refuse_admitted(record, ResultCode::NoTarget, reason, back_after)
@@ -327,8 +333,8 @@
     code: ResultCode,
     reason: &str,
     back_after: Duration,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     record.end(code, reason);
     let attempt = &record.facts.attempt;
-    own_answer(attempt, code, RanState::No, reason, Some(back_after))
+    error_response(attempt, code, RanStatus::No, reason, Some(back_after))
 }
--- a/packages/turnford-serve/src/resting.rs
+++ b/packages/turnford-serve/src/resting.rs
@@ -15,7 +15,7 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::fanout::tell_peers;
 use crate::traffic::Traffic;
 
@@ -27,9 +27,9 @@
 const LONGEST_LATER: Duration = Duration::from_millis(500);
 
 /// Notes that a target wants nothing of this node for so long.
-pub(crate) fn hear_rest(
+pub(crate) fn apply_backoff(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     target: &TargetSpec,
     rest: Duration,
 ) {
@@ -37,8 +37,8 @@
     let later = rest
         .min(LONGEST_LATER.div_f64(LATER_PART))
         .mul_f64(LATER_PART);
-    let span = rest.saturating_add(later.mul_f64(traffic.draw()));
-    let mut board = desk.board.borrow_mut();
+    let span = rest.saturating_add(later.mul_f64(traffic.random()));
+    let mut board = desk.targets.borrow_mut();
     board.record_backoff(now, &target.id, target.process_start, span);
     drop(board);
     desk.line.wake_first();
@@ -49,7 +49,7 @@
 
 /// Tells the nodes that admit requests to stages.
 fn tell_admitters(traffic: &Rc<Traffic>, target: &TargetSpec, rest: Duration) {
-    let desks = traffic.all_desks();
+    let desks = traffic.all_services();
     let plain = desks
         .iter()
         .filter(|desk| desk.spec.borrow().batch.is_none());
@@ -67,11 +67,11 @@
 }
 
 /// Takes the news of a node that gathers.
-pub(crate) fn answer_rest(traffic: &Traffic, news: &BackoffUpdate) -> WorkReply {
-    if let Some(desk) = traffic.desk(&news.service) {
+pub(crate) fn answer_backoff(traffic: &Traffic, news: &BackoffUpdate) -> WorkReply {
+    if let Some(desk) = traffic.service(&news.service) {
         let now = traffic.shared.now();
         let rest = Duration::from_millis(news.backoff_ms);
-        let mut board = desk.board.borrow_mut();
+        let mut board = desk.targets.borrow_mut();
         board.record_batcher_backoff(now, &news.target, news.process_start, rest);
     }
     WorkReply::Ack
--- a/packages/turnford-serve/src/stage.rs
+++ b/packages/turnford-serve/src/stage.rs
@@ -11,7 +11,7 @@
 use turnford_policy::Moment;
 use turnford_policy::PieceWork;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::gather::expected_wait;
 use crate::gather::run_pieces;
 use crate::gather::CellPlace;
@@ -19,7 +19,7 @@
 use crate::record::RequestRecord;
 use crate::release::PieceResult;
 use crate::results::HeldResults;
-use crate::stages::StageFault;
+use crate::stages::StageError;
 use crate::traffic::Traffic;
 
 /// Most times that one piece is made anew after a failure.
@@ -62,10 +62,10 @@
     traffic: Rc<Traffic>,
     record: Rc<RequestRecord>,
     needs: StageNeeds,
-) -> Result<StageMade, StageFault> {
+) -> Result<StageMade, StageError> {
     let service = &record.route.stages[needs.stage].service;
-    let desk = traffic.desk(service);
-    let desk = desk.ok_or(StageFault::Failed("the stage's service is not known"))?;
+    let desk = traffic.service(service);
+    let desk = desk.ok_or(StageError::Failed("the stage's service is not known"))?;
     let place = choose_cell(&traffic, &record, desk, &needs);
     let mut missing: Vec<u32> = (0..needs.count).collect();
     note_firsts(&traffic, &place, missing.len());
@@ -94,7 +94,7 @@
                     results.stages[0].push(result.clone());
                     made[piece as usize] = Some(result);
                 }
-                PieceOutcome::InputGone => return Err(StageFault::InputGone),
+                PieceOutcome::InputGone => return Err(StageError::InputGone),
                 PieceOutcome::Failed(reason) => {
                     record.note(format_args!(
                         "stage {} piece {piece}: {reason}",
@@ -120,11 +120,11 @@
         }
         let now = traffic.shared.now();
         if let CrashVerdict::Refused(until) = traffic.crashes.verdict(now, &record.digest.get()) {
-            return Err(StageFault::CrashesTargets(until.saturating_sub(now)));
+            return Err(StageError::CrashesTargets(until.saturating_sub(now)));
         }
         failures += 1;
         if failures > PIECE_TRIES || !may_repeat(&traffic, &record, &place, offered) {
-            return Err(StageFault::Failed("a piece was not made"));
+            return Err(StageError::Failed("a piece was not made"));
         }
     }
 }
@@ -134,13 +134,13 @@
 fn choose_cell(
     traffic: &Traffic,
     record: &RequestRecord,
-    desk: Rc<ServiceDesk>,
+    desk: Rc<ServiceContext>,
     needs: &StageNeeds,
 ) -> CellPlace {
     let split = desk.split();
     let hall = needs.hall.as_deref();
     let near = hall.and_then(|hall| cell_of_hall(&split, hall));
-    let drawn = (traffic.draw() * split.len() as f64) as usize;
+    let drawn = (traffic.random() * split.len() as f64) as usize;
     let place = |number: usize| CellPlace {
         desk: desk.clone(),
         number,
--- a/packages/turnford-serve/src/stages.rs
+++ b/packages/turnford-serve/src/stages.rs
@@ -27,7 +27,7 @@
 
 /// Why the stages gave no results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StageFault {
+pub(crate) enum StageError {
     /// A result was gone when it was needed.
     InputGone,
     /// A piece was not made.
@@ -41,14 +41,14 @@
     },
 }
 
-type StageEnd = (usize, Result<StageMade, StageFault>);
+type StageEnd = (usize, Result<StageMade, StageError>);
 
 /// Runs all stages of a request.
 pub(crate) async fn run_stages(
     traffic: &Rc<Traffic>,
     record: &Rc<RequestRecord>,
     flow: &AdmittedFlow,
-) -> Result<StageResults, StageFault> {
+) -> Result<StageResults, StageError> {
     let graph = record.stage_graph();
     let mut held = HeldResults::new(traffic, graph.len());
     let (ends, ended) = async_channel::unbounded();
@@ -69,7 +69,7 @@
             break;
         }
         let Ok((stage, end)) = ended.recv().await else {
-            return Err(StageFault::Failed("a stage was dropped"));
+            return Err(StageError::Failed("a stage was dropped"));
         };
         let made = end?;
         held.stages[stage] = made.results;
@@ -135,7 +135,9 @@
     stage: usize,
 ) -> Duration {
     let service = &record.route.stages[stage].service;
-    let spec = traffic.desk(service).map(|desk| desk.spec.borrow().clone());
+    let spec = traffic
+        .service(service)
+        .map(|desk| desk.spec.borrow().clone());
     let batch = spec.and_then(|spec| spec.batch.clone());
     batch.map_or(Duration::ZERO, |batch| {
         batch.call_overhead + batch.piece_time * graph.piece_count(stage)
@@ -144,7 +146,7 @@
 
 /// Returns the time that new pieces of a stage would wait, in the cell where it is least.
 fn stage_wait(traffic: &Traffic, record: &RequestRecord, stage: usize) -> Duration {
-    let Some(desk) = traffic.desk(&record.route.stages[stage].service) else {
+    let Some(desk) = traffic.service(&record.route.stages[stage].service) else {
         return Duration::ZERO;
     };
     let waits = (0..desk.split().len()).map(|number| {
@@ -212,7 +214,7 @@
         (held.main_hall(inputs), bytes)
     };
     let later = later_span(traffic, record, graph, stage);
-    let due = record.begun + record.route.latency_objective.saturating_sub(later);
+    let due = record.started_at + record.route.latency_objective.saturating_sub(later);
     StageNeeds {
         stage,
         count,
--- a/packages/turnford-serve/src/stream.rs
+++ b/packages/turnford-serve/src/stream.rs
@@ -11,14 +11,14 @@
 
 use turnford_policy::ResultCode;
 
-use crate::answer::passed_answer;
-use crate::answer::AnswerBody;
-use crate::answer::AnswerCut;
-use crate::call::TargetAnswer;
+use crate::answer::proxied_response;
+use crate::answer::BodyTruncated;
+use crate::answer::ResponseBody;
+use crate::call::TargetResponse;
 use crate::crash::note_good_end;
 use crate::crash::BrokenCall;
 use crate::crash_check::check_break;
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::placed_run::PlacedRun;
 use crate::record::RequestRecord;
 use crate::traffic::Traffic;
@@ -26,16 +26,16 @@
 /// Chunks that wait for a slow client before the target is held up.
 const CHUNK_LIMIT: usize = 8;
 
-type ChunkSender = Sender<Result<Bytes, AnswerCut>>;
+type ChunkSender = Sender<Result<Bytes, BodyTruncated>>;
 
 /// Returns the client's answer, whose body is passed on by a task.
 pub(crate) fn relay_stream(
     traffic: &Rc<Traffic>,
     record: &Rc<RequestRecord>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     placed: PlacedRun,
-    answer: TargetAnswer,
-) -> Response<AnswerBody> {
+    answer: TargetResponse,
+) -> Response<ResponseBody> {
     let (parts, body, rest) = answer.into_stream();
     let (sender, chunks) = async_channel::bounded(CHUNK_LIMIT);
     let relay = {
@@ -64,11 +64,11 @@
             }
             record.end(ResultCode::StreamBroken, "the stream broke off");
             // The client may have left.
-            let _ = sender.send(Err(AnswerCut)).await;
+            let _ = sender.send(Err(BodyTruncated)).await;
         }
     };
     let task = traffic.executor.spawn(relay);
-    passed_answer(&parts, AnswerBody::relayed(chunks, task))
+    proxied_response(&parts, ResponseBody::relayed(chunks, task))
 }
 
 /// How the passing on of a stream ended.
@@ -83,7 +83,7 @@
 /// Passes a body on until its end or the deadline.
 async fn pass_chunks(
     record: &RequestRecord,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     placed: &PlacedRun,
     mut body: Incoming,
     sender: &ChunkSender,
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -17,7 +17,7 @@
 
 use crate::crash::CrashDesk;
 use crate::crash_check::check_starts;
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::leaving::LeavingQueue;
 use crate::limits::ServiceLimits;
 use crate::peers::PeerLinks;
@@ -45,7 +45,7 @@
     pub(crate) leaving: LeavingQueue,
     /// Ends when the node is about to end.
     pub(crate) ending: Receiver<()>,
-    desks: RefCell<HashMap<ServiceId, Rc<ServiceDesk>>>,
+    desks: RefCell<HashMap<ServiceId, Rc<ServiceContext>>>,
     /// What the services were last made from.
     view: RefCell<Arc<RouteView>>,
 }
@@ -73,17 +73,17 @@
     }
 
     /// Returns a service that the configuration names.
-    pub(crate) fn desk(&self, service: &str) -> Option<Rc<ServiceDesk>> {
+    pub(crate) fn service(&self, service: &str) -> Option<Rc<ServiceContext>> {
         self.desks.borrow().get(service).cloned()
     }
 
     /// Returns all services that the configuration names or named.
-    pub(crate) fn all_desks(&self) -> Vec<Rc<ServiceDesk>> {
+    pub(crate) fn all_services(&self) -> Vec<Rc<ServiceContext>> {
         self.desks.borrow().values().cloned().collect()
     }
 
     /// Plans a service's pieces anew after its targets changed.
-    pub(crate) fn refresh_pieces(self: &Rc<Self>, desk: &Rc<ServiceDesk>) {
+    pub(crate) fn refresh_pieces(self: &Rc<Self>, desk: &Rc<ServiceContext>) {
         desk.refresh_cells();
         for cell in self.cells(desk) {
             cell.pump();
@@ -91,7 +91,7 @@
     }
 
     /// Returns a number from 0 to below 1.
-    pub(crate) fn draw(&self) -> f64 {
+    pub(crate) fn random(&self) -> f64 {
         self.peers.draw()
     }
 
@@ -123,26 +123,28 @@
         }
     }
 
-    fn new_desk(self: &Rc<Self>, spec: &Arc<ServiceSpec>) -> Rc<ServiceDesk> {
+    fn new_desk(self: &Rc<Self>, spec: &Arc<ServiceSpec>) -> Rc<ServiceContext> {
         let repeats = self.shared.settings.repeats;
         let allowance = RetryAllowance::new(repeats.window, repeats.ratio, 0.0);
         let (traffic, service) = (Rc::downgrade(self), spec.name.clone());
         let on_change = move || {
             let traffic = traffic.upgrade();
-            let desk = traffic.as_ref().and_then(|traffic| traffic.desk(&service));
+            let desk = traffic
+                .as_ref()
+                .and_then(|traffic| traffic.service(&service));
             if let Some((traffic, desk)) = traffic.zip(desk) {
                 desk.line.wake_first();
                 traffic.refresh_pieces(&desk);
             }
         };
         let limits = ServiceLimits::new(self.peers.clone(), spec.name.clone(), on_change);
-        ServiceDesk::new(spec.clone(), allowance, limits)
+        ServiceContext::new(spec.clone(), allowance, limits)
     }
 
-    fn refresh_targets(&self, view: &RouteView, service: &str, desk: &ServiceDesk) {
+    fn refresh_targets(&self, view: &RouteView, service: &str, desk: &ServiceContext) {
         let targets = view.targets.values();
         let own = targets.filter(|target| &*target.service == service);
-        let mut board = desk.board.borrow_mut();
+        let mut board = desk.targets.borrow_mut();
         let before: Vec<_> = board.all_targets().cloned().collect();
         board.set_targets(own);
         for target in before {
@@ -172,7 +174,7 @@
     }
 
     /// Notes that a target gave results up, whose room is free now.
-    pub(crate) fn note_released(self: &Rc<Self>, desk: &Rc<ServiceDesk>, handles: &[String]) {
+    pub(crate) fn handle_released(self: &Rc<Self>, desk: &Rc<ServiceContext>, handles: &[String]) {
         for cell in self.cells(desk) {
             let mut board = cell.pieces.board.borrow_mut();
             for handle in handles {
@@ -183,7 +185,7 @@
         }
     }
 
-    fn cells(self: &Rc<Self>, desk: &Rc<ServiceDesk>) -> Vec<PieceCell> {
+    fn cells(self: &Rc<Self>, desk: &Rc<ServiceContext>) -> Vec<PieceCell> {
         let cells = desk.cells.borrow();
         let cells = cells.iter().map(|pieces| PieceCell {
             traffic: self.clone(),
@@ -201,7 +203,7 @@
         traffic.current_view();
         let hands_back = traffic.shared.is_draining() && !has_handed_back && !traffic.is_alone();
         has_handed_back |= hands_back;
-        for desk in traffic.all_desks() {
+        for desk in traffic.all_services() {
             for cell in traffic.cells(&desk) {
                 if hands_back {
                     cell.hand_back();
@@ -213,7 +215,7 @@
 }
 
 /// Closes idle connections to targets in time.
-pub(crate) async fn sweep_links(traffic: Rc<Traffic>) {
+pub(crate) async fn close_idle_connections(traffic: Rc<Traffic>) {
     loop {
         Timer::after(SWEEP_PAUSE).await;
         let now = traffic.shared.now();
--- a/packages/turnford-serve/src/trial.rs
+++ b/packages/turnford-serve/src/trial.rs
@@ -13,7 +13,7 @@
 use turnford_policy::ResultCode;
 
 use crate::crash::SuspectGuard;
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::limit_place::place_limited;
 use crate::limit_place::LimitedPlace;
 use crate::record::RequestRecord;
@@ -99,7 +99,7 @@
             }
             CrashVerdict::Suspect { .. } => {}
         }
-        if now.saturating_sub(record.begun) >= HOLD_SPAN {
+        if now.saturating_sub(record.started_at) >= HOLD_SPAN {
             return Err(SuspectRefusal::on_trial());
         }
         Timer::after(HOLD_PAUSE).await;
@@ -109,7 +109,7 @@
 /// Places a request by what this node knows, a suspect only where no other copy of it runs.
 pub(crate) fn place_checked(
     traffic: &Traffic,
-    desk: &ServiceDesk,
+    desk: &ServiceContext,
     digest: RequestDigest,
     need: &PlacementRequest,
     turn: &TurnAsk,
--- a/packages/turnford-serve/src/words.rs
+++ b/packages/turnford-serve/src/words.rs
@@ -12,17 +12,17 @@
 use turnford_policy::Moment;
 use turnford_policy::TargetSpec;
 
-use crate::desk::ServiceDesk;
+use crate::desk::ServiceContext;
 use crate::leaving::hear_leaving;
 use crate::limit_news::hear_limit;
 use crate::metrics::ServiceEvent;
-use crate::resting::hear_rest;
+use crate::resting::apply_backoff;
 use crate::traffic::Traffic;
 
 /// Hears what a target says of itself in the answer to a call sent at a moment, whatever becomes of it.
-pub(crate) fn hear_words(
+pub(crate) fn process_signals(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     target: &TargetSpec,
     parts: &Parts,
     attempt: Option<&str>,
@@ -45,7 +45,7 @@
             rest.as_millis(),
             attempt.unwrap_or("-")
         );
-        hear_rest(traffic, desk, target, rest);
+        apply_backoff(traffic, desk, target, rest);
     }
     read_limit(traffic, desk, target, parts, attempt, sent);
     word
@@ -54,7 +54,7 @@
 /// Hears what a target says of the calls that it takes from all nodes together.
 fn read_limit(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceDesk>,
+    desk: &Rc<ServiceContext>,
     target: &TargetSpec,
     parts: &Parts,
     attempt: Option<&str>,
--- a/packages/turnford-serve/src/work.rs
+++ b/packages/turnford-serve/src/work.rs
@@ -27,7 +27,7 @@
 use crate::limits::ServiceLimits;
 use crate::placer::answer_place;
 use crate::progress::answer_progress;
-use crate::resting::answer_rest;
+use crate::resting::answer_backoff;
 use crate::traffic::Traffic;
 
 /// Serves other nodes' work for as long as the node runs.
@@ -81,7 +81,7 @@
         }
         WorkRequest::LimitSync(marks) => answer_limit_sync(&traffic, &marks),
         WorkRequest::Leaving(news) => answer_leaving(&traffic, news),
-        WorkRequest::Backoff(news) => answer_rest(&traffic, &news),
+        WorkRequest::Backoff(news) => answer_backoff(&traffic, &news),
         WorkRequest::Progress {
             service,
             updates: news,
@@ -97,5 +97,5 @@
 }
 
 fn limits_of(traffic: &Traffic, service: &str) -> Option<Rc<ServiceLimits>> {
-    Some(traffic.desk(service)?.limits.clone())
+    Some(traffic.service(service)?.limits.clone())
 }
--- a/packages/turnford-serve/tests/bad_calls.rs
+++ b/packages/turnford-serve/tests/bad_calls.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::text;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::QUICK;
 
@@ -14,7 +14,7 @@
     (site, node)
 }
 
-fn refused(ask: Ask<'_>, status: u16) {
+fn refused(ask: ClientRequest<'_>, status: u16) {
     let (site, node) = site();
     let answer = site.call(node, ask).expect("an answer");
     assert_eq!(answer.status, status, "{}", text(&answer));
@@ -24,31 +24,31 @@
 
 #[test]
 fn no_route() {
-    refused(Ask::new("a1", "/nowhere/"), 404);
+    refused(ClientRequest::new("a1", "/nowhere/"), 404);
 }
 
 #[test]
 fn no_key() {
-    let mut ask = Ask::new("a1", "/hold/1");
+    let mut ask = ClientRequest::new("a1", "/hold/1");
     ask.key = None;
     refused(ask, 401);
 }
 
 #[test]
 fn unknown_key() {
-    let mut ask = Ask::new("a1", "/hold/1");
+    let mut ask = ClientRequest::new("a1", "/hold/1");
     ask.key = Some("key-nobody");
     refused(ask, 401);
 }
 
 #[test]
 fn no_attempt() {
-    refused(Ask::new("", "/hold/1"), 400);
+    refused(ClientRequest::new("", "/hold/1"), 400);
 }
 
 #[test]
 fn odd_numbers() {
-    let mut ask = Ask::new("a1", "/hold/1");
+    let mut ask = ClientRequest::new("a1", "/hold/1");
     ask.headers = &[("x-turnford-token-counts", "many")];
     refused(ask, 400);
     ask.headers = &[("x-turnford-deadline-ms", "soon")];
@@ -60,7 +60,7 @@
 #[test]
 fn long_body() {
     let body = "x".repeat(5000);
-    let mut ask = Ask::new("a1", "/hold/1");
+    let mut ask = ClientRequest::new("a1", "/hold/1");
     ask.body = &body;
     refused(ask, 413);
 }
@@ -72,7 +72,7 @@
     site.target("b1", "booking", QUICK);
     let node = site.node_unready("one");
     let answer = site
-        .call(node, Ask::new("a1", "/hold/1"))
+        .call(node, ClientRequest::new("a1", "/hold/1"))
         .expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
--- a/packages/turnford-serve/tests/common/mod.rs
+++ b/packages/turnford-serve/tests/common/mod.rs
@@ -31,7 +31,7 @@
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
 
 /// Time that clients give their requests.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
+pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Short work of a plain service.
 pub(crate) const QUICK: TargetRole = TargetRole::Plain(Duration::from_millis(5));
@@ -147,7 +147,11 @@
     }
 
     /// Sends a request to a node and reads its whole answer.
-    pub(crate) fn call(&self, node: usize, ask: Ask<'_>) -> Result<BufferedResponse, HttpError> {
+    pub(crate) fn call(
+        &self,
+        node: usize,
+        ask: ClientRequest<'_>,
+    ) -> Result<BufferedResponse, HttpError> {
         let to = self.nodes[node].settings.listen;
         let request = ask.request(to);
         async_io::block_on(self.client.send(to, request, LIMIT))
@@ -191,7 +195,7 @@
 
 /// A client's request.
 #[derive(Clone, Copy)]
-pub(crate) struct Ask<'a> {
+pub(crate) struct ClientRequest<'a> {
     pub(crate) attempt: &'a str,
     pub(crate) path: &'a str,
     pub(crate) key: Option<&'a str>,
@@ -199,7 +203,7 @@
     pub(crate) body: &'a str,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> ClientRequest<'a> {
     /// Makes a request with a valid key.
     pub(crate) fn new(attempt: &'a str, path: &'a str) -> Self {
         Self {
@@ -218,7 +222,10 @@
         request.insert_header("x-turnford-attempt-id", self.attempt);
         let names_patience = |(name, _): &(&str, &str)| *name == "x-turnford-deadline-ms";
         if !self.headers.iter().any(names_patience) {
-            request.insert_header("x-turnford-deadline-ms", PATIENCE.as_millis().to_string());
+            request.insert_header(
+                "x-turnford-deadline-ms",
+                CLIENT_TIMEOUT.as_millis().to_string(),
+            );
         }
         if let Some(key) = self.key {
             request.insert_header("authorization", format!("Bearer {key}"));
--- a/packages/turnford-serve/tests/config_follow.rs
+++ b/packages/turnford-serve/tests/config_follow.rs
@@ -4,7 +4,7 @@
 
 use common::config;
 use common::wait_until;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::QUICK;
 use turnford_standin::DoorState;
@@ -20,7 +20,7 @@
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
     assert_eq!(
-        site.call(node, Ask::new("a1", "/hold/1"))
+        site.call(node, ClientRequest::new("a1", "/hold/1"))
             .expect("an answer")
             .status,
         200
@@ -30,7 +30,7 @@
     site.store.put("config", "main", next);
     wait_until("version 5 is in force", || version(&site, node, 5));
     assert_eq!(
-        site.call(node, Ask::new("a2", "/hold/1"))
+        site.call(node, ClientRequest::new("a2", "/hold/1"))
             .expect("an answer")
             .status,
         401
@@ -67,7 +67,7 @@
     site.store.put("config", "main", config(10));
     wait_until("version 10 is in force", || version(&site, node, 10));
     assert_eq!(
-        site.call(node, Ask::new("a1", "/hold/1"))
+        site.call(node, ClientRequest::new("a1", "/hold/1"))
             .expect("an answer")
             .status,
         200
@@ -91,7 +91,7 @@
         wait_until("version 4 is in force", || version(&site, node, 4));
     }
     assert_eq!(
-        site.call(second, Ask::new("a1", "/hold/1"))
+        site.call(second, ClientRequest::new("a1", "/hold/1"))
             .expect("an answer")
             .status,
         401
--- a/packages/turnford-serve/tests/crashing_requests.rs
+++ b/packages/turnford-serve/tests/crashing_requests.rs
@@ -13,7 +13,7 @@
 
 use common::text;
 use common::wait_until;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::QUICK;
 use common::STAGE;
@@ -69,9 +69,9 @@
 fn send_crashing(site: &RouteSite, path: &str) -> usize {
     for number in 0..ARRIVALS {
         let attempt = format!("bad-{number}");
-        let ask = Ask {
+        let ask = ClientRequest {
             body: CRASHING,
-            ..Ask::new(&attempt, path)
+            ..ClientRequest::new(&attempt, path)
         };
         // Whatever the end is: it can't be served.
         let _ = site.call(number % site.nodes.len(), ask);
@@ -124,9 +124,9 @@
                 let site = &site;
                 scope.spawn(move || {
                     let attempt = format!("bad-{node}-{copy}");
-                    let ask = Ask {
+                    let ask = ClientRequest {
                         body: CRASHING,
-                        ..Ask::new(&attempt, "/draft/1")
+                        ..ClientRequest::new(&attempt, "/draft/1")
                     };
                     let _ = site.call(node, ask);
                 });
@@ -147,9 +147,9 @@
     let site = start_site();
     fragile_targets(&site, "sprog", &LASTING);
     let ask = |attempt: &str, body: &str| {
-        let ask = Ask {
+        let ask = ClientRequest {
             body,
-            ..Ask::new(attempt, "/draft/1")
+            ..ClientRequest::new(attempt, "/draft/1")
         };
         site.call(attempt.len() % 3, ask)
     };
@@ -180,9 +180,9 @@
     let clients = 12;
     let ask = |client: usize, number: usize| {
         let attempt = format!("same-{client}-{number}");
-        let ask = Ask {
+        let ask = ClientRequest {
             body: "what all ask",
-            ..Ask::new(&attempt, "/draft/1")
+            ..ClientRequest::new(&attempt, "/draft/1")
         };
         let answer = site.call(client % 3, ask);
         answer.is_ok_and(|answer| answer.status == 200 && !answer.body.is_empty())
@@ -218,9 +218,9 @@
     for node in 0..site.nodes.len() {
         let begun = Instant::now();
         let attempt = format!("bad-last-{node}");
-        let ask = Ask {
+        let ask = ClientRequest {
             body: CRASHING,
-            ..Ask::new(&attempt, "/draft/1")
+            ..ClientRequest::new(&attempt, "/draft/1")
         };
         let answer = site.call(node, ask).expect("an answer");
         assert_eq!(answer.status, 503);
@@ -237,9 +237,9 @@
 
 /// Sends the crashing request to a node; tells whether it refused it at once.
 fn is_refused(site: &RouteSite, node: usize, attempt: &str) -> bool {
-    let ask = Ask {
+    let ask = ClientRequest {
         body: CRASHING,
-        ..Ask::new(attempt, "/draft/1")
+        ..ClientRequest::new(attempt, "/draft/1")
     };
     let answer = site.call(node, ask);
     answer.is_ok_and(|answer| text(&answer).contains("crashes-targets"))
@@ -324,20 +324,20 @@
         .collect();
     for number in 0..ARRIVALS {
         let attempt = format!("bad-{number}");
-        let ask = Ask {
+        let ask = ClientRequest {
             body: CRASHING,
             headers: &bad,
-            ..Ask::new(&attempt, "/chat/")
+            ..ClientRequest::new(&attempt, "/chat/")
         };
         // Whatever the end is: it can't be served.
         let _ = site.call(number % site.nodes.len(), ask);
     }
     let crashes: u64 = targets.iter().map(RouteTarget::crashes).sum();
     assert!(crashes <= REACH_LIMIT as u64, "{crashes} targets crashed");
-    let ask = Ask {
+    let ask = ClientRequest {
         headers: STAGED,
         body: "another",
-        ..Ask::new("good", "/chat/")
+        ..ClientRequest::new("good", "/chat/")
     };
     let answer = site.call(0, ask).expect("an answer");
     assert_eq!(answer.status, 200, "{}", text(&answer));
--- a/packages/turnford-serve/tests/gathered_pieces.rs
+++ b/packages/turnford-serve/tests/gathered_pieces.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::ENGINE;
 use common::STAGED;
@@ -39,7 +39,7 @@
         for (number, name) in names.iter().enumerate() {
             let node = nodes[number % nodes.len()];
             scope.spawn(move || {
-                let mut ask = Ask::new(name, "/chat/");
+                let mut ask = ClientRequest::new(name, "/chat/");
                 ask.headers = STAGED;
                 let answer = site.call(node, ask).expect("an answer");
                 assert_eq!(answer.status, 200, "{name} at node {node}");
--- a/packages/turnford-serve/tests/hopeless_requests.rs
+++ b/packages/turnford-serve/tests/hopeless_requests.rs
@@ -8,7 +8,7 @@
 
 use common::text;
 use common::wait_until;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::ENGINE;
 use common::STAGED;
@@ -23,8 +23,8 @@
 /// Time from the end of that stage in which a hopeless request is refused, on a busy machine.
 const SOON: Duration = Duration::from_millis(1500);
 
-fn staged(attempt: &str) -> Ask<'_> {
-    let mut ask = Ask::new(attempt, "/chat/");
+fn staged(attempt: &str) -> ClientRequest<'_> {
+    let mut ask = ClientRequest::new(attempt, "/chat/");
     ask.headers = STAGED;
     ask
 }
--- a/packages/turnford-serve/tests/leaving_answers.rs
+++ b/packages/turnford-serve/tests/leaving_answers.rs
@@ -12,7 +12,7 @@
 
 use common::text;
 use common::wait_until;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::ENGINE;
 use common::QUICK;
@@ -33,7 +33,7 @@
 
 /// Sends a request to a node; returns its status.
 fn send(site: &RouteSite, node: usize, attempt: &str, path: &str) -> u16 {
-    let answer = site.call(node, Ask::new(attempt, path));
+    let answer = site.call(node, ClientRequest::new(attempt, path));
     answer.expect("an answer").status
 }
 
@@ -134,9 +134,9 @@
     site.settle();
     silence_store(&site);
     let staged = |attempt: &str, node| {
-        let ask = Ask {
+        let ask = ClientRequest {
             headers: STAGED,
-            ..Ask::new(attempt, "/chat/1")
+            ..ClientRequest::new(attempt, "/chat/1")
         };
         let answer = site.call(node, ask).expect("an answer");
         assert_eq!(answer.status, 200, "{}", text(&answer));
@@ -243,9 +243,9 @@
     std::thread::sleep(IN_FORCE);
     for (attempt, path) in [("a1", "/pay/1"), ("a2", "/draft/1"), ("a3", "/chat/1")] {
         let begun = Instant::now();
-        let ask = Ask {
+        let ask = ClientRequest {
             headers: STAGED,
-            ..Ask::new(attempt, path)
+            ..ClientRequest::new(attempt, path)
         };
         let answer = site.call(0, ask).expect("an answer");
         assert_eq!(answer.status, 503, "{}", text(&answer));
--- a/packages/turnford-serve/tests/leaving_targets.rs
+++ b/packages/turnford-serve/tests/leaving_targets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::wait_until;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::QUICK;
 use turnford_standin::DoorState;
@@ -33,7 +33,7 @@
     for number in 0..20 {
         let attempt = format!("a{number}");
         let answer = site
-            .call(node, Ask::new(&attempt, "/hold/1"))
+            .call(node, ClientRequest::new(&attempt, "/hold/1"))
             .expect("an answer");
         assert_eq!(answer.status, 200);
         assert_eq!(site.journal.of(&attempt)[0].target, "b2");
@@ -68,7 +68,7 @@
     site.store.set_door(door, DoorState::Open);
     std::thread::sleep(Duration::from_millis(1500));
     assert_eq!(
-        site.call(node, Ask::new("a1", "/hold/1"))
+        site.call(node, ClientRequest::new("a1", "/hold/1"))
             .expect("an answer")
             .status,
         200
@@ -76,7 +76,7 @@
     target.list("ready");
     std::thread::sleep(Duration::from_millis(2500));
     assert_eq!(
-        site.call(node, Ask::new("a2", "/hold/1"))
+        site.call(node, ClientRequest::new("a2", "/hold/1"))
             .expect("an answer")
             .status,
         200
@@ -96,7 +96,7 @@
     first.unlist();
     let node = site.node("one");
     let answer = site
-        .call(node, Ask::new("a1", "/hold/1"))
+        .call(node, ClientRequest::new("a1", "/hold/1"))
         .expect("an answer");
     assert_eq!(answer.status, 503);
     assert_eq!(site.journal.runs(), []);
--- a/packages/turnford-serve/tests/limited_targets.rs
+++ b/packages/turnford-serve/tests/limited_targets.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 use common::wait_until;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::ENGINE;
 use common::QUICK;
@@ -98,10 +98,10 @@
         let attempt = format!("a{}", TRIES.fetch_add(1, Ordering::SeqCst));
         let patience = [("x-turnford-deadline-ms", self.patience_ms)];
         let headers = [self.headers, &patience].concat();
-        let ask = Ask {
+        let ask = ClientRequest {
             key: Some(self.key),
             headers: &headers,
-            ..Ask::new(&attempt, self.path)
+            ..ClientRequest::new(&attempt, self.path)
         };
         let answer = site.call(node, ask);
         let back = answer.as_ref().ok().and_then(|answer| {
--- a/packages/turnford-serve/tests/planned_stop.rs
+++ b/packages/turnford-serve/tests/planned_stop.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::text;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use turnford_standin::TargetRole;
 
@@ -22,7 +22,7 @@
     let running = site.nodes[node].node.take().expect("a node");
     let site = &site;
     std::thread::scope(|scope| {
-        let call = scope.spawn(|| site.call(node, Ask::new("a1", "/draft/")));
+        let call = scope.spawn(|| site.call(node, ClientRequest::new("a1", "/draft/")));
         common::wait_until("the request runs", || site.journal.of("a1").len() == 1);
         let stop = scope.spawn(|| async_io::block_on(running.drain()));
         common::wait_until("the node is not ready", || site.readiness(node) == 503);
@@ -47,12 +47,12 @@
     let site = &site;
     std::thread::scope(|scope| {
         // One request keeps the node from ending early.
-        let first = scope.spawn(|| site.call(node, Ask::new("a1", "/draft/")));
+        let first = scope.spawn(|| site.call(node, ClientRequest::new("a1", "/draft/")));
         common::wait_until("the request runs", || site.journal.of("a1").len() == 1);
         let stop = scope.spawn(|| async_io::block_on(running.drain()));
         std::thread::sleep(Duration::from_millis(1500));
         let answer = site
-            .call(node, Ask::new("a2", "/draft/"))
+            .call(node, ClientRequest::new("a2", "/draft/"))
             .expect("an answer");
         assert_eq!(answer.status, 503, "{}", text(&answer));
         assert!(answer.header("retry-after").is_some());
--- a/packages/turnford-serve/tests/resting_targets.rs
+++ b/packages/turnford-serve/tests/resting_targets.rs
@@ -12,7 +12,7 @@
 
 use common::text;
 use common::wait_until;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::ENGINE;
 use common::QUICK;
@@ -28,7 +28,7 @@
 
 /// Sends a request to a node; returns its status.
 fn send(site: &RouteSite, node: usize, attempt: &str, path: &str) -> u16 {
-    let answer = site.call(node, Ask::new(attempt, path));
+    let answer = site.call(node, ClientRequest::new(attempt, path));
     answer.expect("an answer").status
 }
 
@@ -78,18 +78,18 @@
         let under_way = scope.spawn(|| send(&site, 0, "before", "/hold/1"));
         wait_until("it runs", || !site.journal.of("before").is_empty());
         first.rest_for(Duration::from_millis(2500));
-        let ask = Ask {
+        let ask = ClientRequest {
             headers: &[("x-turnford-deadline-ms", "500")],
-            ..Ask::new("told", "/hold/1")
+            ..ClientRequest::new("told", "/hold/1")
         };
         assert_eq!(site.call(0, ask).expect("an answer").status, 503);
         assert_eq!(under_way.join().expect("an end"), 200);
     });
     for number in 0..10 {
         let attempt = format!("a{number}");
-        let ask = Ask {
+        let ask = ClientRequest {
             headers: &[("x-turnford-deadline-ms", "300")],
-            ..Ask::new(&attempt, "/hold/1")
+            ..ClientRequest::new(&attempt, "/hold/1")
         };
         assert_eq!(site.call(0, ask).expect("an answer").status, 503);
         std::thread::sleep(Duration::from_millis(120));
@@ -134,9 +134,9 @@
 
     first.rest_for(Duration::from_secs(3));
     let hasty = |attempt| {
-        let ask = Ask {
+        let ask = ClientRequest {
             headers: &[("x-turnford-deadline-ms", "1000")],
-            ..Ask::new(attempt, "/hold/1")
+            ..ClientRequest::new(attempt, "/hold/1")
         };
         site.call(0, ask).expect("an answer")
     };
@@ -215,9 +215,9 @@
     let mut number = 0;
     while begun.elapsed() < Duration::from_secs(3) {
         let attempt = format!("a{number}");
-        let ask = Ask {
+        let ask = ClientRequest {
             headers: STAGED,
-            ..Ask::new(&attempt, "/chat/1")
+            ..ClientRequest::new(&attempt, "/chat/1")
         };
         let answer = site.call(0, ask).expect("an answer");
         assert_eq!(answer.status, 200, "{}", text(&answer));
@@ -242,9 +242,9 @@
         site.settle();
         let staged = |attempt: &str, patience: &'static str| {
             let headers = [STAGED, &[("x-turnford-deadline-ms", patience)]].concat();
-            let ask = Ask {
+            let ask = ClientRequest {
                 headers: &headers,
-                ..Ask::new(attempt, "/chat/1")
+                ..ClientRequest::new(attempt, "/chat/1")
             };
             site.call(0, ask).expect("an answer")
         };
@@ -284,9 +284,9 @@
         for (attempt, key) in [("later", "key-skagen"), ("urgent", "key-fyn")] {
             let site = &site;
             scope.spawn(move || {
-                let ask = Ask {
+                let ask = ClientRequest {
                     key: Some(key),
-                    ..Ask::new(attempt, "/hold/1")
+                    ..ClientRequest::new(attempt, "/hold/1")
                 };
                 assert_eq!(site.call(0, ask).expect("an answer").status, 200);
             });
--- a/packages/turnford-serve/tests/store_drill.rs
+++ b/packages/turnford-serve/tests/store_drill.rs
@@ -13,7 +13,7 @@
 
 use common::config;
 use common::wait_until;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::ENGINE;
 use common::QUICK;
@@ -82,7 +82,7 @@
 }
 
 fn send(site: &RouteSite, node: usize, attempt: &str) -> u16 {
-    let answer = site.call(node, Ask::new(attempt, "/pay/1"));
+    let answer = site.call(node, ClientRequest::new(attempt, "/pay/1"));
     answer.expect("an answer").status
 }
 
--- a/packages/turnford-serve/tests/truthful_ends.rs
+++ b/packages/turnford-serve/tests/truthful_ends.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::text;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::ENGINE;
 use common::QUICK;
@@ -24,7 +24,7 @@
     let node = site.node("one");
     target.fail_next([TargetFault::TurnAway]);
     let answer = site
-        .call(node, Ask::new("a1", "/hold/1"))
+        .call(node, ClientRequest::new("a1", "/hold/1"))
         .expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
@@ -45,7 +45,7 @@
         first.fail_next([fault.clone()]);
         second.fail_next([fault.clone()]);
         let answer = site
-            .call(node, Ask::new("a1", "/hold/1"))
+            .call(node, ClientRequest::new("a1", "/hold/1"))
             .expect("an answer");
         assert!(
             matches!(answer.status, 502 | 504),
@@ -75,7 +75,7 @@
         for attempt in ["a1", "a2"] {
             let path = format!("/pay/{attempt}");
             let answer = site
-                .call(node, Ask::new(attempt, &path))
+                .call(node, ClientRequest::new(attempt, &path))
                 .expect("an answer");
             assert_eq!(
                 (answer.status, text(&answer)),
@@ -93,7 +93,7 @@
     let node = site.node("one");
     target.fail_next([TargetFault::Fail]);
     let answer = site
-        .call(node, Ask::new("a1", "/hold/1"))
+        .call(node, ClientRequest::new("a1", "/hold/1"))
         .expect("an answer");
     assert_eq!(answer.status, 500);
     assert_eq!(answer.header("x-turnford-server-stamp"), Some("stamp-a1"));
@@ -106,7 +106,7 @@
     let target = site.target("s1", "sprog", ENGINE);
     let node = site.node("one");
     target.fail_next([TargetFault::Cut]);
-    let end = site.call(node, Ask::new("a1", "/draft/"));
+    let end = site.call(node, ClientRequest::new("a1", "/draft/"));
     assert_eq!(end.map(|answer| answer.body), Err(HttpError::Truncated));
 }
 
@@ -116,7 +116,7 @@
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
     let answer = site
-        .call(node, Ask::new("a1", "/draft/"))
+        .call(node, ClientRequest::new("a1", "/draft/"))
         .expect("an answer");
     assert_eq!(answer.status, 503);
     assert!(text(&answer).contains(r#""ran":"no""#));
@@ -131,7 +131,7 @@
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
     target.fail_next([TargetFault::Slow(Duration::from_secs(15))]);
-    let mut ask = Ask::new("a1", "/hold/1");
+    let mut ask = ClientRequest::new("a1", "/hold/1");
     ask.headers = &[("x-turnford-deadline-ms", "3000")];
     let begun = std::time::Instant::now();
     let answer = site.call(node, ask).expect("an answer");
@@ -155,9 +155,9 @@
         let attempt = format!("a{number}");
         let time = (1 + number / 3).to_string();
         let headers = [("x-turnford-deadline-ms", time.as_str())];
-        let ask = Ask {
+        let ask = ClientRequest {
             headers: &headers,
-            ..Ask::new(&attempt, "/hold/1")
+            ..ClientRequest::new(&attempt, "/hold/1")
         };
         let answer = site.call(node, ask).expect("an answer");
         answers.push((attempt, answer.status));
@@ -189,7 +189,7 @@
                 for number in 0.. {
                     let attempt = format!("a{client}-{number}");
                     let answer = site
-                        .call(node, Ask::new(&attempt, "/hold/1"))
+                        .call(node, ClientRequest::new(&attempt, "/hold/1"))
                         .expect("an answer");
                     if answer.status == 200 {
                         break;
--- a/packages/turnford-serve/tests/whole_path.rs
+++ b/packages/turnford-serve/tests/whole_path.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::text;
-use common::Ask;
+use common::ClientRequest;
 use common::RouteSite;
 use common::ENGINE;
 use common::QUICK;
@@ -17,7 +17,7 @@
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
     let answer = site
-        .call(node, Ask::new("a1", "/hold/pitch/7"))
+        .call(node, ClientRequest::new("a1", "/hold/pitch/7"))
         .expect("an answer");
     assert_eq!(
         (answer.status, text(&answer)),
@@ -42,7 +42,7 @@
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
-    let mut ask = Ask::new("a1", "/hold/1");
+    let mut ask = ClientRequest::new("a1", "/hold/1");
     ask.headers = &[
         ("x-turnford-tenant", "fyn"),
         ("x-turnford-expect-instance", "b9"),
@@ -58,7 +58,7 @@
     site.target("e1", "ejer", STAGE);
     site.target("s1", "sprog", ENGINE);
     let node = site.node("one");
-    let mut ask = Ask::new("a1", "/chat/");
+    let mut ask = ClientRequest::new("a1", "/chat/");
     ask.headers = STAGED;
     let answer = site.call(node, ask).expect("an answer");
     assert_eq!(answer.status, 200);
@@ -85,7 +85,7 @@
     site.target("e1", "ejer", STAGE);
     site.target("s1", "sprog", ENGINE);
     let node = site.node("one");
-    let mut ask = Ask::new("a1", "/chat/");
+    let mut ask = ClientRequest::new("a1", "/chat/");
     ask.headers = STAGED;
     assert_eq!(site.call(node, ask).expect("an answer").status, 200);
     let is_release = |kind: &RunKind| matches!(kind, RunKind::Release(_));
