--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -20,10 +20,10 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceContext;
 use crate::limits::PLACE_LIMIT;
 use crate::progress::PlacerHandle;
 use crate::record::RequestRecord;
+use crate::service_context::ServiceContext;
 use crate::stages::forecast_alone;
 use crate::stages::least_span;
 use crate::traffic::Traffic;
--- a/packages/turnford-serve/src/opening.rs
+++ b/packages/turnford-serve/src/availability.rs
@@ -10,11 +10,11 @@
 use turnford_policy::Moment;
 use turnford_policy::TargetId;
 
-use crate::desk::ServiceContext;
 use crate::forward::RETRY_AFTER;
-use crate::line::QueuePosition;
 use crate::record::RequestRecord;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
+use crate::wait_queue::QueuePosition;
 
 /// Part of the time until a target takes calls over which those that are refused together come back.
 const RETURN_SPREAD: f64 = 0.25;
--- a/packages/turnford-serve/src/resting.rs
+++ b/packages/turnford-serve/src/backoff.rs
@@ -15,8 +15,8 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceContext;
 use crate::fanout::tell_peers;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Part of a rest that a node adds at most: nodes that were told the same don't come back in the same
--- a/packages/turnford-serve/src/gather.rs
+++ b/packages/turnford-serve/src/batching.rs
@@ -22,7 +22,6 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceContext;
 use crate::inputs::InputTracker;
 use crate::peers::WaitingGuard;
 use crate::peers::SILENCE_SPAN;
@@ -30,6 +29,7 @@
 use crate::pieces::PieceOutcome;
 use crate::release::release_results;
 use crate::release::PieceResult;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Nodes that the pieces of one stage are offered to before this node gathers them itself.
--- a/packages/turnford-serve/src/call.rs
+++ b/packages/turnford-serve/src/call.rs
@@ -20,12 +20,12 @@
 use turnford_http::HttpError;
 use turnford_policy::TargetSpec;
 
-use crate::desk::FlightGuard;
-use crate::desk::ServiceContext;
 use crate::metrics::ServiceEvent;
+use crate::service_context::FlightGuard;
+use crate::service_context::ServiceContext;
+use crate::signals::process_signals;
 use crate::traffic::Traffic;
 use crate::wait::wait_until;
-use crate::words::process_signals;
 
 /// Longest time to open a connection to a target. One lost opening packet is sent again after a
 /// second, and another target is faster than that.
--- a/packages/turnford-serve/src/crash_check.rs
+++ b/packages/turnford-serve/src/crash_check.rs
@@ -15,7 +15,7 @@
 
 use crate::crash::note_crash;
 use crate::crash::BrokenCall;
-use crate::desk::ServiceContext;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Longest wait for a target's machine to say that nobody takes connections there. One that ended
--- a/packages/turnford-serve/src/forward.rs
+++ b/packages/turnford-serve/src/forward.rs
@@ -21,6 +21,7 @@
 use crate::answer::proxied_response;
 use crate::answer::RanStatus;
 use crate::answer::ResponseBody;
+use crate::availability::return_span;
 use crate::call::call_target;
 use crate::call::CallError;
 use crate::call::CallPurpose;
@@ -28,10 +29,7 @@
 use crate::crash::note_good_end;
 use crate::crash::BrokenCall;
 use crate::crash_check::check_break;
-use crate::desk::ServiceContext;
-use crate::line::QueuePosition;
 use crate::metrics::ServiceEvent;
-use crate::opening::return_span;
 use crate::placed_run::PlacedRun;
 use crate::placement::place_request;
 use crate::placement::PlacementOptions;
@@ -41,8 +39,10 @@
 use crate::request::refuse_resting;
 use crate::request::refuse_suspect;
 use crate::results::StageResults;
+use crate::service_context::ServiceContext;
 use crate::stream::relay_stream;
 use crate::traffic::Traffic;
+use crate::wait_queue::QueuePosition;
 
 /// Largest answer that is held to its end before the client gets it, in bytes. Nothing else bounds
 /// answers.
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -21,10 +21,10 @@
 use crate::call::call_target;
 use crate::call::CallError;
 use crate::call::CallPurpose;
-use crate::desk::ServiceContext;
 use crate::fanout::tell_peers;
 use crate::fanout::tell_some;
 use crate::fanout::NewsQueue;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Time in which words are gathered: the targets of a rack leave together.
--- a/packages/turnford-serve/src/limit_place.rs
+++ b/packages/turnford-serve/src/limit_place.rs
@@ -11,10 +11,10 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
-use crate::desk::ServiceContext;
 use crate::limit_news::report_limit;
 use crate::limits::PermitEnd;
 use crate::plain_choice::choose_target;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Pause before a request looks again where this node does not divide.
--- a/packages/turnford-serve/src/limit_watch.rs
+++ b/packages/turnford-serve/src/limit_watch.rs
@@ -13,11 +13,11 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceContext;
 use crate::fanout::ANSWER_LIMIT;
 use crate::leaving::ask_health;
 use crate::limit_news::own_news;
 use crate::limit_news::take_limits;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Pause between two comparisons with another node.
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -24,12 +24,12 @@
 
 use crate::batch::ask_report;
 use crate::batch::run_batch;
-use crate::desk::ServiceContext;
 use crate::inputs::InputTracker;
 use crate::limit_news::report_limit;
 use crate::limits::PermitEnd;
 use crate::release::release_results;
 use crate::release::PieceResult;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Why a piece of a request that crashes targets is not made.
--- a/packages/turnford-serve/src/placed_run.rs
+++ b/packages/turnford-serve/src/placed_run.rs
@@ -9,10 +9,10 @@
 use turnford_policy::TargetSpec;
 use turnford_wire::RunUpdate;
 
-use crate::desk::ServiceContext;
-use crate::line::QueuePosition;
 use crate::progress::PlacerHandle;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
+use crate::wait_queue::QueuePosition;
 
 /// A place for a request; its end is told when this is dropped.
 pub(crate) struct PlacedRun {
--- a/packages/turnford-serve/src/placement.rs
+++ b/packages/turnford-serve/src/placement.rs
@@ -20,24 +20,24 @@
 use turnford_policy::RequestDigest;
 use turnford_policy::TargetId;
 
-use crate::desk::ServiceContext;
+use crate::availability::wait_turn;
+use crate::availability::AvailabilityError;
 use crate::forward::RETRY_AFTER;
 use crate::limit_place::choose_limited;
 use crate::limit_place::LimitedPlace;
-use crate::line::QueuePosition;
-use crate::opening::wait_turn;
-use crate::opening::AvailabilityError;
 use crate::placed_run::note_run;
 use crate::placed_run::PlacedRun;
 use crate::placed_run::PlacementAttempt;
 use crate::placer::ask_placer;
 use crate::record::RequestRecord;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 use crate::trial::place_checked;
 use crate::trial::CheckedPlace;
 use crate::trial::SuspectRefusal;
 use crate::trial::HOLD_PAUSE;
 use crate::trial::HOLD_SPAN;
+use crate::wait_queue::QueuePosition;
 
 /// Returns the hall that a request's last target will probably be in.
 pub(crate) fn plan_hall(desk: &ServiceContext, parts: &[PromptSegment]) -> Option<Arc<str>> {
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -17,7 +17,6 @@
 use turnford_wire::WorkRequest;
 
 use crate::admission::short_millis;
-use crate::desk::ServiceContext;
 use crate::limit_news::report_limit;
 use crate::limit_place::LimitedPlace;
 use crate::limits::DOUBT_PAUSE;
@@ -25,6 +24,7 @@
 use crate::placed_run::note_run;
 use crate::placed_run::PlacedRun;
 use crate::placed_run::PlacementAttempt;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 use crate::trial::place_checked;
 use crate::trial::CheckedPlace;
--- a/packages/turnford-serve/src/plain_choice.rs
+++ b/packages/turnford-serve/src/plain_choice.rs
@@ -3,7 +3,7 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
-use crate::desk::ServiceContext;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Cost of a target in another hall against one request more in its queue.
--- a/packages/turnford-serve/src/progress.rs
+++ b/packages/turnford-serve/src/progress.rs
@@ -12,7 +12,7 @@
 use turnford_wire::RunUpdate;
 use turnford_wire::WorkRequest;
 
-use crate::desk::ServiceContext;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Time in which news of placed requests is gathered.
--- a/packages/turnford-serve/src/release.rs
+++ b/packages/turnford-serve/src/release.rs
@@ -12,10 +12,10 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
+use crate::batching::release_at_peer;
 use crate::call::call_target;
 use crate::call::CallPurpose;
-use crate::desk::ServiceContext;
-use crate::gather::release_at_peer;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 use crate::wait::wait_until;
 
--- a/packages/turnford-serve/src/desk.rs
+++ b/packages/turnford-serve/src/service_context.rs
@@ -27,8 +27,8 @@
 use crate::call::CallError;
 use crate::call::CallPurpose;
 use crate::limits::ServiceLimits;
-use crate::line::WaitQueue;
 use crate::pieces::CellQueue;
+use crate::wait_queue::WaitQueue;
 
 /// Time after which half of a told wait no longer counts: queues change within a call or two.
 const WAIT_HALF_LIFE: Duration = Duration::from_millis(500);
--- a/packages/turnford-serve/src/words.rs
+++ b/packages/turnford-serve/src/signals.rs
@@ -12,11 +12,11 @@
 use turnford_policy::Moment;
 use turnford_policy::TargetSpec;
 
-use crate::desk::ServiceContext;
+use crate::backoff::apply_backoff;
 use crate::leaving::hear_leaving;
 use crate::limit_news::hear_limit;
 use crate::metrics::ServiceEvent;
-use crate::resting::apply_backoff;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Hears what a target says of itself in the answer to a call sent at a moment, whatever becomes of it.
--- a/packages/turnford-serve/src/stage.rs
+++ b/packages/turnford-serve/src/stage.rs
@@ -11,14 +11,14 @@
 use turnford_policy::Moment;
 use turnford_policy::PieceWork;
 
-use crate::desk::ServiceContext;
-use crate::gather::expected_wait;
-use crate::gather::run_pieces;
-use crate::gather::CellPlace;
+use crate::batching::expected_wait;
+use crate::batching::run_pieces;
+use crate::batching::CellPlace;
 use crate::pieces::PieceOutcome;
 use crate::record::RequestRecord;
 use crate::release::PieceResult;
 use crate::results::HeldResults;
+use crate::service_context::ServiceContext;
 use crate::stages::StageError;
 use crate::traffic::Traffic;
 
--- a/packages/turnford-serve/src/stages.rs
+++ b/packages/turnford-serve/src/stages.rs
@@ -12,8 +12,8 @@
 use turnford_policy::StageGraph;
 
 use crate::admission::AdmittedFlow;
-use crate::gather::expected_wait;
-use crate::gather::CellPlace;
+use crate::batching::expected_wait;
+use crate::batching::CellPlace;
 use crate::record::RequestRecord;
 use crate::results::HeldResults;
 use crate::results::StageResults;
--- a/packages/turnford-serve/src/stream.rs
+++ b/packages/turnford-serve/src/stream.rs
@@ -18,9 +18,9 @@
 use crate::crash::note_good_end;
 use crate::crash::BrokenCall;
 use crate::crash_check::check_break;
-use crate::desk::ServiceContext;
 use crate::placed_run::PlacedRun;
 use crate::record::RequestRecord;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Chunks that wait for a slow client before the target is held up.
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -17,13 +17,13 @@
 
 use crate::crash::CrashDesk;
 use crate::crash_check::check_starts;
-use crate::desk::ServiceContext;
 use crate::leaving::LeavingQueue;
 use crate::limits::ServiceLimits;
 use crate::peers::PeerLinks;
 use crate::pieces::PieceCell;
 use crate::progress::ProgressQueue;
 use crate::release::ResultReleaser;
+use crate::service_context::ServiceContext;
 use crate::shared::RouteView;
 use crate::shared::ServeShared;
 
--- a/packages/turnford-serve/src/trial.rs
+++ b/packages/turnford-serve/src/trial.rs
@@ -13,10 +13,10 @@
 use turnford_policy::ResultCode;
 
 use crate::crash::SuspectGuard;
-use crate::desk::ServiceContext;
 use crate::limit_place::place_limited;
 use crate::limit_place::LimitedPlace;
 use crate::record::RequestRecord;
+use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Longest time for which a suspect waits for another copy of it: most have ended or crashed their
--- a/packages/turnford-serve/src/work.rs
+++ b/packages/turnford-serve/src/work.rs
@@ -16,10 +16,11 @@
 
 use crate::admission::answer_admit;
 use crate::admission::answer_forecast;
+use crate::backoff::answer_backoff;
+use crate::batching::answer_pieces;
+use crate::batching::answer_release;
 use crate::crash_news::answer_crash_sync;
 use crate::crash_news::answer_crashes;
-use crate::gather::answer_pieces;
-use crate::gather::answer_release;
 use crate::leaving::answer_leaving;
 use crate::limit_news::answer_limits;
 use crate::limit_news::answer_report;
@@ -27,7 +28,6 @@
 use crate::limits::ServiceLimits;
 use crate::placer::answer_place;
 use crate::progress::answer_progress;
-use crate::resting::answer_backoff;
 use crate::traffic::Traffic;
 
 /// Serves other nodes' work for as long as the node runs.
