--- a/packages/turnford-serve/src/batching.rs
+++ b/packages/turnford-serve/src/batching.rs
@@ -198,7 +198,7 @@
         service: result.maker.service.to_string(),
         target: result.maker.id.to_string(),
         handle: result.handle.clone(),
-        gatherer: result.gatherer.unwrap_or(own),
+        batcher: result.gatherer.unwrap_or(own),
     });
     entries.collect()
 }
@@ -210,7 +210,7 @@
     let known = entries.iter().filter_map(|entry| {
         let desk = traffic.service(&entry.service)?;
         let maker = desk.targets.borrow().get(&entry.target)?.clone();
-        let gatherer = (entry.gatherer != own).then_some(entry.gatherer);
+        let gatherer = (entry.batcher != own).then_some(entry.batcher);
         Some(PieceResult {
             handle: entry.handle.clone(),
             maker,
--- a/packages/turnford-wire/src/route.rs
+++ b/packages/turnford-wire/src/route.rs
@@ -154,7 +154,7 @@
     /// Handle of the result.
     pub handle: String,
     /// Node that gathered it.
-    pub gatherer: SocketAddr,
+    pub batcher: SocketAddr,
 }
 
 /// Pieces of one stage of one request, handed to the node that gathers them.
