--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -20,7 +20,7 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::limits::PLACE_LIMIT;
+use crate::limits::PLACEMENT_TIMEOUT;
 use crate::progress::PlacerHandle;
 use crate::record::RequestRecord;
 use crate::service_context::ServiceContext;
@@ -122,7 +122,10 @@
         None => Some(admit_here(traffic, desk, &need, patience)),
         Some(placer) => {
             let request = WorkRequest::Admit(admit_ask(traffic, desk, &need, patience));
-            let reply = traffic.peers.call(placer, &request, PLACE_LIMIT).await;
+            let reply = traffic
+                .peers
+                .call(placer, &request, PLACEMENT_TIMEOUT)
+                .await;
             reply.and_then(admit_answer)
         }
     };
@@ -199,8 +202,8 @@
     need: &FlowRequest,
     patience: Duration,
 ) -> Result<(), FlowRefusal> {
-    let mut division = desk.limits.division.borrow_mut();
-    let has_limits = desk.limits.board.borrow().has_limits();
+    let mut division = desk.limits.election.borrow_mut();
+    let has_limits = desk.limits.table.borrow().has_limits();
     let Some(divider) = division.allocator().filter(|_| has_limits) else {
         return Ok(());
     };
--- a/packages/turnford-serve/src/backoff.rs
+++ b/packages/turnford-serve/src/backoff.rs
@@ -15,7 +15,7 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::fanout::tell_peers;
+use crate::fanout::notify_peers;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
@@ -55,7 +55,7 @@
         .filter(|desk| desk.spec.borrow().batch.is_none());
     let duties = plain.map(|desk| Duty::Place(desk.spec.borrow().name.to_string()));
     let peers: BTreeSet<SocketAddr> = duties
-        .filter_map(|duty| traffic.peers.doer_of(&duty))
+        .filter_map(|duty| traffic.peers.owner_of(&duty))
         .collect();
     let news = BackoffUpdate {
         service: target.service.to_string(),
@@ -63,7 +63,7 @@
         process_start: target.process_start,
         backoff_ms: u64::try_from(rest.as_millis()).unwrap_or(u64::MAX),
     };
-    tell_peers(&traffic.peers, peers, &WorkRequest::Backoff(news));
+    notify_peers(&traffic.peers, peers, &WorkRequest::Backoff(news));
 }
 
 /// Takes the news of a node that gathers.
--- a/packages/turnford-serve/src/batch.rs
+++ b/packages/turnford-serve/src/batch.rs
@@ -19,7 +19,7 @@
 use crate::call::call_target;
 use crate::call::CallError;
 use crate::call::CallPurpose;
-use crate::crash_check::check_pieces;
+use crate::crash_check::check_broken_pieces;
 use crate::metrics::ServiceEvent;
 use crate::pieces::PieceCell;
 
@@ -119,7 +119,7 @@
     let begun = traffic.shared.now();
     let count = plan.pieces.len();
     let metrics = &traffic.shared.metrics;
-    metrics.note_service(&target.service, ServiceEvent::Batch);
+    metrics.record_service_event(&target.service, ServiceEvent::Batch);
     let span = cell.pieces.board.borrow().call_time(count);
     let limit = longest_wait(&plan, begun);
     let call = call_pieces(cell, target, &plan, limit);
@@ -153,7 +153,7 @@
         Err(fault) => {
             if matches!(fault, CallError::Disconnected(_)) {
                 // Before its pieces go to another target, it has to be known whether they crash it.
-                check_pieces(traffic, &cell.desk, target, &plan).await;
+                check_broken_pieces(traffic, &cell.desk, target, &plan).await;
             }
             note_fault(cell, target, plan, &fault);
             Vec::new()
@@ -199,7 +199,7 @@
 async fn is_silent(cell: &PieceCell, target: &TargetSpec) -> bool {
     let now = cell.traffic.shared.now();
     let rests = cell.desk.targets.borrow().backoff_until(now, &target.id);
-    let limit = cell.desk.limits.board.borrow().state(&target.id);
+    let limit = cell.desk.limits.table.borrow().state(&target.id);
     if rests.is_some() || limit.needs_permit() {
         // It wants no question either; the call goes on.
         return false;
@@ -264,7 +264,7 @@
         }
         CallError::Limited => {
             let metrics = &traffic.shared.metrics;
-            metrics.note_service(&target.service, ServiceEvent::Limited);
+            metrics.record_service_event(&target.service, ServiceEvent::Limited);
             cell.give_back(plan, "the target's limit is used up", false);
         }
         CallError::NotRun(status) => {
@@ -278,7 +278,7 @@
         CallError::Disconnected(reason) | CallError::Unknown(reason) => {
             log::info!("target={} pieces={count} no result: {reason}", target.id);
             let metrics = &traffic.shared.metrics;
-            metrics.note_service(&target.service, ServiceEvent::Broken);
+            metrics.record_service_event(&target.service, ServiceEvent::CallFailed);
             let mut board = cell.desk.targets.borrow_mut();
             board.record_failure(&target.id);
             board.record_refusal(now, &target.id);
--- a/packages/turnford-serve/src/batching.rs
+++ b/packages/turnford-serve/src/batching.rs
@@ -24,7 +24,7 @@
 
 use crate::inputs::InputTracker;
 use crate::peers::WaitingGuard;
-use crate::peers::SILENCE_SPAN;
+use crate::peers::SILENCE_TIMEOUT;
 use crate::pieces::PieceCell;
 use crate::pieces::PieceOutcome;
 use crate::release::release_results;
@@ -63,7 +63,7 @@
     for _ in 0..GATHERER_TRIES {
         let service = place.desk.spec.borrow().name.to_string();
         let duty = Duty::Gather(service, place.number);
-        let Some(peer) = traffic.peers.doer_of(&duty) else {
+        let Some(peer) = traffic.peers.owner_of(&duty) else {
             break;
         };
         if let Some(end) = ask_peer(traffic, place, works, last_use, peer).await {
@@ -125,7 +125,7 @@
     };
     let watch = async {
         while state.down_until.get() <= traffic.shared.now() {
-            Timer::after(SILENCE_SPAN).await;
+            Timer::after(SILENCE_TIMEOUT).await;
         }
         None
     };
@@ -195,8 +195,8 @@
 fn input_entries(traffic: &Traffic, results: &[PieceResult]) -> Vec<InputEntry> {
     let own = traffic.shared.settings.work;
     let entries = results.iter().map(|result| InputEntry {
-        service: result.maker.service.to_string(),
-        target: result.maker.id.to_string(),
+        service: result.producer.service.to_string(),
+        target: result.producer.id.to_string(),
         handle: result.handle.clone(),
         gatherer: result.gatherer.unwrap_or(own),
     });
@@ -209,11 +209,11 @@
     let own = traffic.shared.settings.work;
     let known = entries.iter().filter_map(|entry| {
         let desk = traffic.service(&entry.service)?;
-        let maker = desk.targets.borrow().get(&entry.target)?.clone();
+        let producer = desk.targets.borrow().get(&entry.target)?.clone();
         let gatherer = (entry.gatherer != own).then_some(entry.gatherer);
         Some(PieceResult {
             handle: entry.handle.clone(),
-            maker,
+            producer,
             gatherer,
         })
     });
@@ -224,11 +224,11 @@
     match end {
         PieceReplyItem::Completed { handle, target } => {
             // A target that left the list meanwhile keeps its result; the input's fetch will tell.
-            let maker = place.desk.targets.borrow().get(&target).cloned();
-            match maker {
-                Some(maker) => PieceOutcome::Made(PieceResult {
+            let producer = place.desk.targets.borrow().get(&target).cloned();
+            match producer {
+                Some(producer) => PieceOutcome::Made(PieceResult {
                     handle,
-                    maker,
+                    producer,
                     gatherer: Some(peer),
                 }),
                 None => PieceOutcome::Failed("its target is gone"),
@@ -250,11 +250,11 @@
         return true;
     };
     let ids = results.iter().map(|result| {
-        let target = result.maker.id.to_string();
+        let target = result.producer.id.to_string();
         (target, result.handle.clone())
     });
     let request = WorkRequest::Release {
-        service: first.maker.service.to_string(),
+        service: first.producer.service.to_string(),
         results: ids.collect(),
     };
     let reply = traffic.peers.call(peer, &request, RELEASE_LIMIT).await;
@@ -285,7 +285,7 @@
     let ends = end.outcomes.into_iter().map(|outcome| match outcome {
         PieceOutcome::Made(result) => PieceReplyItem::Completed {
             handle: result.handle,
-            target: result.maker.id.to_string(),
+            target: result.producer.id.to_string(),
         },
         PieceOutcome::InputGone => PieceReplyItem::InputMissing,
         PieceOutcome::Failed(_) => PieceReplyItem::Failed,
@@ -314,7 +314,7 @@
     let service = place.desk.spec.borrow().name.to_string();
     let duty = Duty::Gather(service, place.number);
     let rank = usize::from(rank).min(RANK_COUNT - 1);
-    match traffic.peers.doer_of(&duty) {
+    match traffic.peers.owner_of(&duty) {
         Some(_) => place.desk.told_wait(now, place.number, rank),
         None => place.desk.own_waits(now, place.number)[rank],
     }
@@ -350,10 +350,10 @@
     };
     let board = desk.targets.borrow();
     let known = results.into_iter().filter_map(|(target, handle)| {
-        let maker = board.get(&target)?.clone();
+        let producer = board.get(&target)?.clone();
         Some(PieceResult {
             handle,
-            maker,
+            producer,
             gatherer: None,
         })
     });
--- a/packages/turnford-serve/src/call.rs
+++ b/packages/turnford-serve/src/call.rs
@@ -161,7 +161,7 @@
     traffic
         .shared
         .metrics
-        .note_service(&target.service, ServiceEvent::Sent);
+        .record_service_event(&target.service, ServiceEvent::Sent);
     let late = async {
         let until = traffic.shared.now() + limit;
         wait_until(&traffic.shared, until).await;
@@ -199,7 +199,7 @@
         traffic
             .shared
             .metrics
-            .note_service(&target.service, ServiceEvent::NotRun);
+            .record_service_event(&target.service, ServiceEvent::NotRun);
         return Err(CallError::NotRun(parts.status));
     }
     Ok(TargetResponse {
@@ -222,7 +222,7 @@
     traffic
         .shared
         .metrics
-        .note_service(&target.service, ServiceEvent::OtherAttempt);
+        .record_service_event(&target.service, ServiceEvent::AttemptMismatch);
     CallError::Unknown("the answer belongs to another request")
 }
 
@@ -242,7 +242,7 @@
     }
     let opened = HttpConnection::open(&traffic.executor, target.address, CONNECT_LIMIT).await;
     let metrics = &traffic.shared.metrics;
-    metrics.note_service(&target.service, ServiceEvent::Connected);
+    metrics.record_service_event(&target.service, ServiceEvent::Connected);
     opened.map_err(|_| {
         let now = traffic.shared.now();
         desk.targets.borrow_mut().record_refusal(now, &target.id);
--- a/packages/turnford-serve/src/crash.rs
+++ b/packages/turnford-serve/src/crash.rs
@@ -43,14 +43,14 @@
     /// Whether it was the only suspect there.
     pub(crate) is_alone: bool,
     /// Whether the target had begun to run it, as far as that shows.
-    pub(crate) has_begun: bool,
+    pub(crate) has_started: bool,
     /// When it broke.
     pub(crate) at: Moment,
 }
 
 /// The requests under which targets crashed.
 #[derive(Default)]
-pub(crate) struct CrashDesk {
+pub(crate) struct CrashTracker {
     pub(crate) table: RefCell<CrashTable>,
     /// News that is not told yet.
     pub(crate) untold: NewsQueue<CrashUpdate>,
@@ -64,14 +64,14 @@
     running: RefCell<HashMap<RequestDigest, usize>>,
 }
 
-impl CrashDesk {
+impl CrashTracker {
     /// Returns what is known of a request.
     pub(crate) fn verdict(&self, now: Moment, digest: &RequestDigest) -> CrashVerdict {
         self.table.borrow().verdict(now, digest)
     }
 
     /// Notes that a target's entry went after it said that it leaves.
-    pub(crate) fn note_left(&self, target: &TargetSpec) {
+    pub(crate) fn record_departure(&self, target: &TargetSpec) {
         let mut left = self.left.borrow_mut();
         if left.len() >= LEFT_LIMIT {
             left.pop_front();
@@ -157,9 +157,9 @@
         target.id,
         target.process_start,
         call.is_alone,
-        call.has_begun
+        call.has_started
     );
-    let part = match (call.is_alone, call.has_begun) {
+    let part = match (call.is_alone, call.has_started) {
         (false, false) => return,
         (false, true) => CrashPart::Shared,
         (true, false) => CrashPart::QueuedTrial,
@@ -176,7 +176,7 @@
 }
 
 /// Notes that a request ended well, which clears it if targets crashed while they ran it.
-pub(crate) fn note_good_end(traffic: &Rc<Traffic>, digest: &RequestDigest) {
+pub(crate) fn record_clean_end(traffic: &Rc<Traffic>, digest: &RequestDigest) {
     if !traffic.crashes.table.borrow().is_empty() {
         note_event(traffic, digest, CrashEvent::EndedWell, Duration::ZERO);
     }
--- a/packages/turnford-serve/src/crash_check.rs
+++ b/packages/turnford-serve/src/crash_check.rs
@@ -27,7 +27,7 @@
 
 /// Finds out whether a target crashed under a call that broke, and notes it. `place` is held until
 /// then, so that no other copy is placed before the crash is known.
-pub(crate) async fn check_break<P>(
+pub(crate) async fn check_broken_call<P>(
     traffic: Rc<Traffic>,
     desk: Rc<ServiceContext>,
     call: BrokenCall,
@@ -38,7 +38,7 @@
 }
 
 /// Finds out whether a target crashed under a call with the pieces of some requests.
-pub(crate) async fn check_pieces(
+pub(crate) async fn check_broken_pieces(
     traffic: &Rc<Traffic>,
     desk: &Rc<ServiceContext>,
     target: &TargetSpec,
@@ -53,7 +53,7 @@
         digest,
         target: target.clone(),
         is_alone,
-        has_begun: true,
+        has_started: true,
         at,
     });
     check_breaks(traffic, desk, calls.collect()).await;
@@ -89,7 +89,7 @@
 }
 
 /// Notes crashes that a service's new list of targets shows.
-pub(crate) fn check_starts(traffic: &Rc<Traffic>, desk: &ServiceContext) {
+pub(crate) fn check_restarts(traffic: &Rc<Traffic>, desk: &ServiceContext) {
     let now = traffic.shared.now();
     let service = desk.spec.borrow().name.clone();
     let has_ended = |target: &TargetSpec| target.service == service && is_other_start(desk, target);
--- a/packages/turnford-serve/src/crash_news.rs
+++ b/packages/turnford-serve/src/crash_news.rs
@@ -19,8 +19,8 @@
 use turnford_wire::WorkRequest;
 
 use crate::crash::take_crash;
-use crate::fanout::tell_peers;
-use crate::fanout::tell_some;
+use crate::fanout::notify_peers;
+use crate::fanout::notify_sample;
 use crate::fanout::ANSWER_LIMIT;
 use crate::keeping::take_kept;
 use crate::traffic::Traffic;
@@ -66,7 +66,7 @@
             .iter()
             .filter_map(|desk| desk.limits.placer())
             .collect();
-        tell_peers(&told.peers, placers, &request);
+        notify_peers(&told.peers, placers, &request);
     };
     traffic.executor.spawn(tell).detach();
 }
@@ -84,7 +84,7 @@
         news.truncate(NEWS_LIMIT);
     }
     // One that does not hear it learns it by comparing.
-    tell_some(&traffic.peers, &WorkRequest::Crashes(news));
+    notify_sample(&traffic.peers, &WorkRequest::Crashes(news));
 }
 
 /// Takes another node's news, and passes on what is new.
--- a/packages/turnford-serve/src/fanout.rs
+++ b/packages/turnford-serve/src/fanout.rs
@@ -7,7 +7,7 @@
 
 use turnford_wire::WorkRequest;
 
-use crate::peers::PeerLinks;
+use crate::peers::PeerPool;
 
 /// Nodes that each node tells of what is new to it: a few rounds reach nearly all of a large fleet.
 const NEWS_FANOUT: usize = 6;
@@ -44,13 +44,13 @@
 }
 
 /// Tells some other nodes.
-pub(crate) fn tell_some(peers: &Rc<PeerLinks>, request: &WorkRequest) {
-    tell_peers(peers, peers.sample(NEWS_FANOUT), request);
+pub(crate) fn notify_sample(peers: &Rc<PeerPool>, request: &WorkRequest) {
+    notify_peers(peers, peers.sample(NEWS_FANOUT), request);
 }
 
 /// Tells these nodes; the news of one that does not answer is lost to it.
-pub(crate) fn tell_peers(
-    peers: &Rc<PeerLinks>,
+pub(crate) fn notify_peers(
+    peers: &Rc<PeerPool>,
     told: impl IntoIterator<Item = SocketAddr>,
     request: &WorkRequest,
 ) {
--- a/packages/turnford-serve/src/feasibility.rs
+++ b/packages/turnford-serve/src/feasibility.rs
@@ -19,7 +19,7 @@
 use crate::admission::told_forecast;
 use crate::admission::AdmittedFlow;
 use crate::forward::RETRY_AFTER;
-use crate::limits::PLACE_LIMIT;
+use crate::limits::PLACEMENT_TIMEOUT;
 use crate::record::RequestRecord;
 use crate::request::MOVE_SPAN;
 use crate::stages::forecast_alone;
@@ -47,7 +47,10 @@
         if end > record.serve_by() {
             let more = forecast.end().as_millis();
             record.note(format_args!("stages would take {more}ms more"));
-            let is_other = traffic.shared.end_at().is_some_and(|stop| end > stop);
+            let is_other = traffic
+                .shared
+                .exit_deadline()
+                .is_some_and(|stop| end > stop);
             let back_after = if is_other {
                 MOVE_SPAN
             } else {
@@ -94,7 +97,11 @@
                     ticket: *ticket,
                     is_late,
                 };
-                match traffic.peers.call(address, &request, PLACE_LIMIT).await {
+                match traffic
+                    .peers
+                    .call(address, &request, PLACEMENT_TIMEOUT)
+                    .await
+                {
                     Some(WorkReply::Forecast(ends)) => ends.as_deref().map(told_forecast),
                     _ => None,
                 }
--- a/packages/turnford-serve/src/forward.rs
+++ b/packages/turnford-serve/src/forward.rs
@@ -26,9 +26,9 @@
 use crate::call::CallError;
 use crate::call::CallPurpose;
 use crate::call::TargetResponse;
-use crate::crash::note_good_end;
+use crate::crash::record_clean_end;
 use crate::crash::BrokenCall;
-use crate::crash_check::check_break;
+use crate::crash_check::check_broken_call;
 use crate::metrics::ServiceEvent;
 use crate::placed_run::PlacedRun;
 use crate::placement::place_request;
@@ -162,8 +162,8 @@
                 }
                 if matches!(fault, CallError::Disconnected(_)) {
                     // An engine that begins to run a request sends the head of its answer.
-                    let has_begun = job.desk.spec.borrow().engine.is_none();
-                    note_break(traffic, job, &log, *placed, has_begun).await;
+                    let has_started = job.desk.spec.borrow().engine.is_none();
+                    note_break(traffic, job, &log, *placed, has_started).await;
                 }
             }
         }
@@ -191,7 +191,10 @@
             .note(format_args!("no room to try another target"));
         ServiceEvent::RepeatDenied
     };
-    traffic.shared.metrics.note_service(&target.service, event);
+    traffic
+        .shared
+        .metrics
+        .record_service_event(&target.service, event);
     allowed
 }
 
@@ -273,7 +276,7 @@
     }
     record.note_head();
     if status.is_success() {
-        note_good_end(traffic, &record.digest.get());
+        record_clean_end(traffic, &record.digest.get());
         job.desk
             .note_last(record.facts.unique_tokens(), record.last_elapsed());
     }
@@ -298,16 +301,16 @@
     job: &ForwardJob<'_>,
     log: &TryLog,
     placed: PlacedRun,
-    has_begun: bool,
+    has_started: bool,
 ) {
     let call = BrokenCall {
         digest: job.record.digest.get(),
         target: placed.target.clone(),
         is_alone: placed.is_alone,
-        has_begun,
+        has_started,
         at: traffic.shared.now(),
     };
-    let check = check_break(traffic.clone(), job.desk.clone(), call, placed);
+    let check = check_broken_call(traffic.clone(), job.desk.clone(), call, placed);
     let check = traffic.executor.spawn(check);
     if may_try(traffic, job, log) {
         check.await;
@@ -337,7 +340,7 @@
         CallError::Limited => {
             // No try either; there may be a permit again for the same target.
             let metrics = &traffic.shared.metrics;
-            metrics.note_service(&target.service, ServiceEvent::Limited);
+            metrics.record_service_event(&target.service, ServiceEvent::Limited);
             job.record.note(format_args!(
                 "{} not asked: its limit is used up",
                 target.id
@@ -371,7 +374,7 @@
                 .note(format_args!("{} gave no answer: {reason}", target.id));
             board.record_failure(&target.id);
             let metrics = &traffic.shared.metrics;
-            metrics.note_service(&target.service, ServiceEvent::Broken);
+            metrics.record_service_event(&target.service, ServiceEvent::CallFailed);
         }
     }
     None
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -21,8 +21,8 @@
 use crate::call::call_target;
 use crate::call::CallError;
 use crate::call::CallPurpose;
-use crate::fanout::tell_peers;
-use crate::fanout::tell_some;
+use crate::fanout::notify_peers;
+use crate::fanout::notify_sample;
 use crate::fanout::NewsQueue;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
@@ -49,7 +49,11 @@
 pub(crate) type LeavingQueue = NewsQueue<LeavingUpdate>;
 
 /// Notes that a target said in an answer to this node that it leaves, and tells others.
-pub(crate) fn hear_leaving(traffic: &Rc<Traffic>, desk: &Rc<ServiceContext>, target: &TargetSpec) {
+pub(crate) fn process_leaving(
+    traffic: &Rc<Traffic>,
+    desk: &Rc<ServiceContext>,
+    target: &TargetSpec,
+) {
     let news = LeavingUpdate {
         service: target.service.to_string(),
         target: target.id.to_string(),
@@ -96,8 +100,8 @@
     for part in news.chunks(NEWS_LIMIT) {
         let doers = doers_of(&traffic, part);
         let request = WorkRequest::Leaving(part.to_vec());
-        tell_peers(&traffic.peers, doers, &request);
-        tell_some(&traffic.peers, &request);
+        notify_peers(&traffic.peers, doers, &request);
+        notify_sample(&traffic.peers, &request);
     }
 }
 
@@ -110,7 +114,7 @@
         gathers.chain([Duty::Place(service.to_owned())])
     });
     duties
-        .filter_map(|duty| traffic.peers.doer_of(&duty))
+        .filter_map(|duty| traffic.peers.owner_of(&duty))
         .collect()
 }
 
--- a/packages/turnford-serve/src/limit_news.rs
+++ b/packages/turnford-serve/src/limit_news.rs
@@ -33,13 +33,13 @@
 const REPORT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Hears what a target's answer said of its limit.
-pub(crate) fn hear_limit(
+pub(crate) fn process_limit(
     limits: &Rc<ServiceLimits>,
     target: &TargetSpec,
     heard: LimitObservation,
     attempt: &str,
 ) {
-    let mut board = limits.board.borrow_mut();
+    let mut board = limits.table.borrow_mut();
     let before = board.observe(&target.id, target.process_start, heard);
     drop(board);
     if let Some(before) = before {
@@ -62,7 +62,7 @@
 
 async fn report_word(limits: Rc<ServiceLimits>, target: TargetId, born: ProcessStart) {
     for _ in 0..REPORT_TRIES {
-        let Some(heard) = limits.board.borrow().observation(&target) else {
+        let Some(heard) = limits.table.borrow().observation(&target) else {
             break;
         };
         if tell_word(&limits, &target, born, heard).await {
@@ -80,7 +80,7 @@
     born: ProcessStart,
     heard: LimitObservation,
 ) -> bool {
-    let term = limits.division.borrow().term().cloned();
+    let term = limits.election.borrow().term().cloned();
     let Some(peer) = limits.placer() else {
         return note_word(limits, target, born, heard, term.as_ref());
     };
@@ -104,7 +104,7 @@
         return false;
     };
     for news in &updates {
-        limits.note_holder(&news.term);
+        limits.record_holder(&news.term);
         take_limits(limits, news);
     }
     updates.iter().any(|news| news.term.holder.work == peer)
@@ -118,12 +118,12 @@
     heard: LimitObservation,
     asked: Option<&LimitTerm>,
 ) -> bool {
-    let role = limits.enter(asked);
+    let role = limits.resolve_role(asked);
     if !matches!(role, AllocationRole::Allocates { .. }) {
         return false;
     }
     let now = limits.peers.shared.now();
-    if let Some(divider) = limits.division.borrow_mut().allocator() {
+    if let Some(divider) = limits.election.borrow_mut().allocator() {
         divider.observe(now, target, born, heard);
     }
     limits.publish(false);
@@ -161,7 +161,7 @@
 /// Takes what the node that divides said; true if anything is new.
 pub(crate) fn take_limits(limits: &ServiceLimits, news: &LimitUpdate) -> bool {
     let is_later = limits.note_term(&news.term);
-    let mut division = limits.division.borrow_mut();
+    let mut division = limits.election.borrow_mut();
     let is_told = division.term() == Some(&news.term) && division.allocator().is_none();
     drop(division);
     is_told && (limits.take_entries(&news.entries) || is_later)
@@ -169,8 +169,8 @@
 
 /// Returns what this node knows of a service's limits, `None` if nobody divides them.
 pub(crate) fn own_news(limits: &ServiceLimits) -> Option<LimitUpdate> {
-    let term = limits.division.borrow().term().cloned()?;
-    let board = limits.board.borrow();
+    let term = limits.election.borrow().term().cloned()?;
+    let board = limits.table.borrow();
     let entries = board
         .announced()
         .map(|(target, born, sequence, state)| LimitEntry {
--- a/packages/turnford-serve/src/limit_place.rs
+++ b/packages/turnford-serve/src/limit_place.rs
@@ -12,7 +12,7 @@
 use turnford_policy::TargetSpec;
 
 use crate::limit_news::report_limit;
-use crate::limits::PermitEnd;
+use crate::limits::PermitOutcome;
 use crate::plain_choice::choose_target;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
@@ -21,9 +21,9 @@
 const LOOK_PAUSE: Duration = Duration::from_millis(50);
 
 /// Where a request may run, by what this node knows.
-pub(crate) enum LimitedPlace {
+pub(crate) enum LimitedPlacement {
     /// At a target.
-    At {
+    Assigned {
         target: TargetSpec,
         /// Number of the placement.
         ticket: u64,
@@ -31,19 +31,21 @@
         has_permit: bool,
     },
     /// No target is left.
-    Nowhere,
+    NoTarget,
     /// All that are left have limits, and it should ask again after this time.
-    Later(Duration),
+    Wait(Duration),
     /// All that are left have limits, and its turn does not come in time; when to come back.
     Full(Duration),
 }
 
-impl LimitedPlace {
+impl LimitedPlacement {
     fn of(placed: Option<(TargetSpec, u64)>) -> Self {
-        placed.map_or(LimitedPlace::Nowhere, |(target, ticket)| LimitedPlace::At {
-            target,
-            ticket,
-            has_permit: false,
+        placed.map_or(LimitedPlacement::NoTarget, |(target, ticket)| {
+            LimitedPlacement::Assigned {
+                target,
+                ticket,
+                has_permit: false,
+            }
         })
     }
 }
@@ -54,13 +56,13 @@
     desk: &ServiceContext,
     need: &PlacementRequest,
     turn: &QueuedRequest,
-) -> LimitedPlace {
-    if !desk.limits.board.borrow().has_limits() {
-        return LimitedPlace::of(place_best(traffic, desk, need));
+) -> LimitedPlacement {
+    if !desk.limits.table.borrow().has_limits() {
+        return LimitedPlacement::of(place_best(traffic, desk, need));
     }
     let now = traffic.shared.now();
     let left = desk.targets.borrow().untried_targets(&need.tried);
-    let mut division = desk.limits.division.borrow_mut();
+    let mut division = desk.limits.election.borrow_mut();
     let Some(divider) = division.allocator() else {
         drop(division);
         return place_beside(traffic, desk, need, &left);
@@ -74,8 +76,8 @@
     if !limited.is_empty() && !is_any_awake {
         match divider.request_permit(now, turn, &limited) {
             PermitDecision::Granted => {}
-            PermitDecision::Wait(span) => return LimitedPlace::Later(span),
-            PermitDecision::Rejected(span) => return LimitedPlace::Full(span),
+            PermitDecision::Wait(span) => return LimitedPlacement::Wait(span),
+            PermitDecision::Rejected(span) => return LimitedPlacement::Full(span),
         }
     }
     let mut need = need.clone();
@@ -83,14 +85,14 @@
     need.tried
         .extend(used_up.cloned().collect::<Vec<TargetId>>());
     let Some((target, ticket)) = place_best(traffic, desk, &need) else {
-        return LimitedPlace::Nowhere;
+        return LimitedPlacement::NoTarget;
     };
     let has_permit = limited.contains(&target.id);
     if let Err(wait) = divider.take(now, &target.id, PermitPurpose::Work) {
         desk.engines.borrow_mut().record_end(ticket);
-        return LimitedPlace::Later(wait);
+        return LimitedPlacement::Wait(wait);
     }
-    LimitedPlace::At {
+    LimitedPlacement::Assigned {
         target,
         ticket,
         has_permit,
@@ -103,18 +105,18 @@
     desk: &ServiceContext,
     need: &PlacementRequest,
     left: &[TargetId],
-) -> LimitedPlace {
+) -> LimitedPlacement {
     let now = traffic.shared.now();
     let mut need = need.clone();
-    let limits = desk.limits.board.borrow();
+    let limits = desk.limits.table.borrow();
     let closed = left.iter().filter(|id| !limits.is_open(now, id));
     need.tried
         .extend(closed.cloned().collect::<Vec<TargetId>>());
     drop(limits);
     match place_best(traffic, desk, &need) {
-        Some(placed) => LimitedPlace::of(Some(placed)),
-        None if left.is_empty() => LimitedPlace::Nowhere,
-        None => LimitedPlace::Later(LOOK_PAUSE),
+        Some(placed) => LimitedPlacement::of(Some(placed)),
+        None if left.is_empty() => LimitedPlacement::NoTarget,
+        None => LimitedPlacement::Wait(LOOK_PAUSE),
     }
 }
 
@@ -144,7 +146,7 @@
     desk: &Rc<ServiceContext>,
     tried: &[TargetId],
 ) -> Result<Option<TargetSpec>, ()> {
-    if !desk.limits.board.borrow().has_limits() {
+    if !desk.limits.table.borrow().has_limits() {
         return Ok(choose_target(traffic, desk, tried));
     }
     loop {
@@ -154,7 +156,7 @@
             return if left.is_empty() { Ok(None) } else { Err(()) };
         }
         let denied = {
-            let limits = desk.limits.board.borrow();
+            let limits = desk.limits.table.borrow();
             let denied = left.iter().filter(|id| !limits.may_open(now, id));
             denied.cloned().collect::<Vec<TargetId>>()
         };
@@ -162,23 +164,27 @@
         let Some(target) = choose_target(traffic, desk, &closed) else {
             return Ok(None);
         };
-        if desk.limits.board.borrow().is_open(now, &target.id) {
+        if desk.limits.table.borrow().is_open(now, &target.id) {
             return Ok(Some(target));
         }
-        match desk.limits.ask_permit(&target, PermitPurpose::Work).await {
-            PermitEnd::Granted => return Ok(Some(target)),
-            PermitEnd::Unknown(span) => {
+        match desk
+            .limits
+            .acquire_permit(&target, PermitPurpose::Work)
+            .await
+        {
+            PermitOutcome::Granted => return Ok(Some(target)),
+            PermitOutcome::Unlimited(span) => {
                 report_limit(&desk.limits, &target);
                 let until = traffic.shared.now() + span;
                 desk.limits
-                    .board
+                    .table
                     .borrow_mut()
                     .record_denial(&target.id, until);
             }
-            PermitEnd::Wait(span) => {
+            PermitOutcome::Wait(span) => {
                 let until = traffic.shared.now() + span.max(LOOK_PAUSE);
                 desk.limits
-                    .board
+                    .table
                     .borrow_mut()
                     .record_denial(&target.id, until);
             }
@@ -189,7 +195,7 @@
 /// Tells whether any of these targets needs no permit and is not paused.
 fn has_free(desk: &ServiceContext, now: Moment, targets: &[TargetId]) -> bool {
     let board = desk.targets.borrow();
-    let limits = desk.limits.board.borrow();
+    let limits = desk.limits.table.borrow();
     let mut free = targets.iter().filter(|id| !limits.state(id).needs_permit());
     free.any(|id| !board.is_paused(now, id))
 }
--- a/packages/turnford-serve/src/limit_watch.rs
+++ b/packages/turnford-serve/src/limit_watch.rs
@@ -53,7 +53,7 @@
         return;
     }
     let divides = |desk: &Rc<ServiceContext>| {
-        let mut division = desk.limits.division.borrow_mut();
+        let mut division = desk.limits.election.borrow_mut();
         division.allocator().is_some()
     };
     let count = if desks.iter().any(divides) {
@@ -112,16 +112,16 @@
 fn keep_division(traffic: &Rc<Traffic>, desk: &Rc<ServiceContext>) {
     let now = traffic.shared.now();
     let limits = &desk.limits;
-    let mut division = limits.division.borrow_mut();
+    let mut division = limits.election.borrow_mut();
     let idle = division.allocator().map_or_else(Vec::new, |divider| {
-        let board = limits.board.borrow();
+        let board = limits.table.borrow();
         divider.retain_listed(|target: &TargetId, born| board.is_known(target, born));
         divider.set_reaches_half(traffic.shared.view.load().reaches_half());
         divider.take_idle(now)
     });
     drop(division);
     limits.publish(false);
-    if !limits.board.borrow().has_limits() {
+    if !limits.table.borrow().has_limits() {
         // Whoever has to place for all may do so again.
         limits.is_divided.set(false);
     }
@@ -141,8 +141,8 @@
     let mut rate = 0.0;
     let mut waiting = 0;
     for desk in traffic.all_services() {
-        targets += desk.limits.board.borrow().limited().count();
-        if let Some(divider) = desk.limits.division.borrow_mut().allocator() {
+        targets += desk.limits.table.borrow().limited().count();
+        if let Some(divider) = desk.limits.election.borrow_mut().allocator() {
             let (given, line) = divider.load(now);
             rate += given;
             waiting += line;
--- a/packages/turnford-serve/src/limits.rs
+++ b/packages/turnford-serve/src/limits.rs
@@ -36,13 +36,13 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::fanout::tell_some;
+use crate::fanout::notify_sample;
 use crate::metrics::ServiceEvent;
-use crate::peers::PeerLinks;
+use crate::peers::PeerPool;
 use crate::peers::ALIVE_LIMIT;
 
 /// Longest wait for the node that places and divides: well below what a request can spare.
-pub(crate) const PLACE_LIMIT: Duration = Duration::from_millis(120);
+pub(crate) const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// Nodes that are asked one after the other, each named by the one before or next in its place.
 const ASK_TRIES: usize = 3;
@@ -52,7 +52,7 @@
 const HEARD_SPAN: Duration = Duration::from_millis(200);
 
 /// Pause before a node asks again whose divider is being looked for: one that stops says so at once.
-pub(crate) const DOUBT_PAUSE: Duration = Duration::from_millis(40);
+pub(crate) const UNCONFIRMED_RETRY: Duration = Duration::from_millis(40);
 
 /// Pause before a node that nobody gave an answer asks again.
 const UNHEARD_PAUSE: Duration = Duration::from_millis(100);
@@ -62,21 +62,21 @@
 
 /// What became of an ask for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PermitEnd {
+pub(crate) enum PermitOutcome {
     /// One call may go.
     Granted,
     /// None now; when to ask again.
     Wait(Duration),
     /// The node that divides knows of no limit; when to ask again, once the two have compared.
-    Unknown(Duration),
+    Unlimited(Duration),
 }
 
 /// The limits of one service's targets, as the traffic thread has them.
 pub(crate) struct ServiceLimits {
-    pub(crate) peers: Rc<PeerLinks>,
+    pub(crate) peers: Rc<PeerPool>,
     pub(crate) service: ServiceId,
-    pub(crate) board: RefCell<LimitTable>,
-    pub(crate) division: RefCell<AllocatorElection>,
+    pub(crate) table: RefCell<LimitTable>,
+    pub(crate) election: RefCell<AllocatorElection>,
     /// Whether the node that divides places for the service, as it does while there are limits.
     pub(crate) is_divided: Cell<bool>,
     /// Targets whose words are on their way to it.
@@ -87,7 +87,7 @@
 
 impl ServiceLimits {
     pub(crate) fn new(
-        peers: Rc<PeerLinks>,
+        peers: Rc<PeerPool>,
         service: ServiceId,
         on_change: impl Fn() + 'static,
     ) -> Rc<Self> {
@@ -95,8 +95,8 @@
         Rc::new(Self {
             peers,
             service,
-            board: RefCell::default(),
-            division: RefCell::new(AllocatorElection::new(own)),
+            table: RefCell::default(),
+            election: RefCell::new(AllocatorElection::new(own)),
             is_divided: Cell::new(false),
             reports: RefCell::default(),
             on_change: Box::new(on_change),
@@ -106,8 +106,8 @@
     /// Returns the address of the node that places for the service, and divides its targets' limits; `None`
     /// if it is this one. Where there are limits, it stays with the one that has begun.
     pub(crate) fn placer(&self) -> Option<SocketAddr> {
-        let by_rank = || self.peers.doer_of(&Duty::Place(self.service.to_string()));
-        let division = self.division.borrow();
+        let by_rank = || self.peers.owner_of(&Duty::Place(self.service.to_string()));
+        let division = self.election.borrow();
         let Some(term) = division.term().filter(|_| self.is_divided.get()) else {
             return by_rank();
         };
@@ -116,7 +116,7 @@
         let holder = term.holder.work;
         if is_own && !self.peers.shared.is_draining() {
             None
-        } else if !is_own && self.peers.state(holder).takes_work(now) {
+        } else if !is_own && self.peers.state(holder).accepts_work(now) {
             Some(holder)
         } else {
             by_rank()
@@ -124,14 +124,14 @@
     }
 
     /// Finds out who divides for a node that asks this one, or for this one itself.
-    pub(crate) fn enter(&self, asked: Option<&LimitTerm>) -> AllocationRole {
+    pub(crate) fn resolve_role(&self, asked: Option<&LimitTerm>) -> AllocationRole {
         if let Some(asked) = asked {
             self.note_term(asked);
         }
         let now = self.peers.shared.now();
-        let mut division = self.division.borrow_mut();
+        let mut division = self.election.borrow_mut();
         let sight = |holder: &AllocatorId| self.sight(now, holder);
-        let role = division.resolve(now, asked, sight, self.board.borrow().limited());
+        let role = division.resolve(now, asked, sight, self.table.borrow().limited());
         if let Some(divider) = division.allocator() {
             divider.set_reaches_half(self.peers.shared.view.load().reaches_half());
         }
@@ -142,7 +142,7 @@
                 let service = &self.service;
                 log::info!("divides limits of service={service} term={number}");
                 self.is_divided.set(true);
-                self.board.borrow_mut().reset_sequences();
+                self.table.borrow_mut().reset_sequences();
                 self.publish(true);
             }
             AllocationRole::Unconfirmed(term) => {
@@ -159,7 +159,7 @@
     fn sight(&self, now: Moment, holder: &AllocatorId) -> HolderStatus {
         let state = self.peers.state(holder.work);
         let heard = state.heard.get();
-        if !state.takes_work(now) {
+        if !state.accepts_work(now) {
             HolderStatus::Unreachable
         } else if !heard.is_zero() && now.saturating_sub(heard) < HEARD_SPAN {
             HolderStatus::Reachable
@@ -170,7 +170,7 @@
 
     /// Notes who divides; true if that is new.
     pub(crate) fn note_term(&self, term: &LimitTerm) -> bool {
-        let is_later = self.division.borrow_mut().observe_term(term);
+        let is_later = self.election.borrow_mut().observe_term(term);
         if is_later {
             let service = &self.service;
             log::info!(
@@ -179,14 +179,14 @@
                 term.number
             );
             self.is_divided.set(true);
-            self.board.borrow_mut().reset_sequences();
+            self.table.borrow_mut().reset_sequences();
             self.peers.state(term.holder.work).note_heard_of();
         }
         is_later
     }
 
     /// Notes that another node named who divides.
-    pub(crate) fn note_holder(&self, term: &LimitTerm) {
+    pub(crate) fn record_holder(&self, term: &LimitTerm) {
         self.note_term(term);
         self.is_divided.set(true);
         self.peers.state(term.holder.work).note_heard_of();
@@ -196,7 +196,7 @@
     /// begun.
     pub(crate) fn publish(&self, is_new: bool) {
         let now = self.peers.shared.now();
-        let mut division = self.division.borrow_mut();
+        let mut division = self.election.borrow_mut();
         let Some(term) = division.term().cloned() else {
             return;
         };
@@ -225,7 +225,7 @@
                 term: term.clone(),
                 entries: part.to_vec(),
             };
-            tell_some(&self.peers, &WorkRequest::Limits(vec![news]));
+            notify_sample(&self.peers, &WorkRequest::Limits(vec![news]));
         }
     }
 
@@ -235,7 +235,7 @@
         let mut is_new = false;
         for entry in entries {
             let target: TargetId = entry.target.as_str().into();
-            let mut board = self.board.borrow_mut();
+            let mut board = self.table.borrow_mut();
             let before = board.state(&target);
             if board.apply(now, &target, entry.born, entry.sequence, entry.state) {
                 is_new = true;
@@ -252,11 +252,11 @@
     }
 
     /// Asks for a permit to send a call to a target with a limit, and keeps it for the next such call.
-    pub(crate) async fn ask_permit(
+    pub(crate) async fn acquire_permit(
         &self,
         target: &TargetSpec,
         purpose: PermitPurpose,
-    ) -> PermitEnd {
+    ) -> PermitOutcome {
         for _ in 0..ASK_TRIES {
             let asked_at = self.peers.shared.now();
             let ask = self.permit_ask(&target.id, target.process_start, purpose);
@@ -264,7 +264,7 @@
                 None => self.grant(&ask),
                 Some(peer) => {
                     let request = WorkRequest::Permit(ask);
-                    let reply = self.peers.call(peer, &request, PLACE_LIMIT).await;
+                    let reply = self.peers.call(peer, &request, PLACEMENT_TIMEOUT).await;
                     let Some(WorkReply::Permit(reply)) = reply else {
                         continue;
                     };
@@ -274,33 +274,36 @@
             match reply {
                 PermitReply::Granted => {
                     self.add_permit(&target.id, asked_at);
-                    return PermitEnd::Granted;
+                    return PermitOutcome::Granted;
                 }
-                PermitReply::Unlimited => return PermitEnd::Unknown(UNHEARD_PAUSE),
+                PermitReply::Unlimited => return PermitOutcome::Unlimited(UNHEARD_PAUSE),
                 PermitReply::Wait { wait_ms } => {
-                    return PermitEnd::Wait(Duration::from_millis(u64::from(wait_ms)));
+                    return PermitOutcome::Wait(Duration::from_millis(u64::from(wait_ms)));
                 }
-                PermitReply::Redirect(term) => self.note_holder(&term),
+                PermitReply::Redirect(term) => self.record_holder(&term),
             }
         }
-        PermitEnd::Wait(UNHEARD_PAUSE)
+        PermitOutcome::Wait(UNHEARD_PAUSE)
     }
 
     /// Asks for a permit for a target's upkeep until there is one; false if there is none until a moment.
     pub(crate) async fn wait_permit(&self, target: &TargetSpec, until: Moment) -> bool {
         loop {
             let now = self.peers.shared.now();
-            if self.board.borrow().is_open(now, &target.id) {
+            if self.table.borrow().is_open(now, &target.id) {
                 return true;
             }
-            match self.ask_permit(target, PermitPurpose::Maintenance).await {
-                PermitEnd::Granted => return true,
-                PermitEnd::Wait(span) | PermitEnd::Unknown(span)
+            match self
+                .acquire_permit(target, PermitPurpose::Maintenance)
+                .await
+            {
+                PermitOutcome::Granted => return true,
+                PermitOutcome::Wait(span) | PermitOutcome::Unlimited(span)
                     if self.peers.shared.now() + span < until =>
                 {
                     Timer::after(span).await;
                 }
-                PermitEnd::Wait(_) | PermitEnd::Unknown(_) => return false,
+                PermitOutcome::Wait(_) | PermitOutcome::Unlimited(_) => return false,
             }
         }
     }
@@ -308,7 +311,7 @@
     /// Returns how new this node's knowledge is.
     pub(crate) fn mark(&self) -> LimitDigest {
         let mut sum = 0;
-        for (target, _, sequence, _) in self.board.borrow().announced() {
+        for (target, _, sequence, _) in self.table.borrow().announced() {
             let mut hasher = SipHasher13::new();
             hasher.write(target.as_bytes());
             hasher.write_u64(sequence);
@@ -316,17 +319,17 @@
         }
         LimitDigest {
             service: self.service.to_string(),
-            term: self.division.borrow().term().cloned(),
+            term: self.election.borrow().term().cloned(),
             sum,
         }
     }
 
     /// Keeps a permit that was asked for at a moment.
     pub(crate) fn add_permit(&self, target: &str, asked_at: Moment) {
-        let mut board = self.board.borrow_mut();
+        let mut board = self.table.borrow_mut();
         board.add_permit(target, asked_at + PERMIT_LIFETIME);
         let metrics = &self.peers.shared.metrics;
-        metrics.note_service(&self.service, ServiceEvent::Permit);
+        metrics.record_service_event(&self.service, ServiceEvent::Permit);
     }
 
     fn permit_ask(
@@ -337,23 +340,23 @@
     ) -> PermitAcquire {
         PermitAcquire {
             service: self.service.to_string(),
-            term: self.division.borrow().term().cloned(),
+            term: self.election.borrow().term().cloned(),
             target: target.to_string(),
             process_start: born,
-            state: self.board.borrow().state(target),
+            state: self.table.borrow().state(target),
             purpose,
         }
     }
 
     /// Answers an ask for a permit.
     pub(crate) fn grant(&self, ask: &PermitAcquire) -> PermitReply {
-        match self.enter(ask.term.as_ref()) {
+        match self.resolve_role(ask.term.as_ref()) {
             AllocationRole::Allocates { .. } => {}
             AllocationRole::Remote(term) => return PermitReply::Redirect(term),
-            AllocationRole::Unconfirmed(_) => return wait_reply(DOUBT_PAUSE),
+            AllocationRole::Unconfirmed(_) => return wait_reply(UNCONFIRMED_RETRY),
         }
         let now = self.peers.shared.now();
-        let mut division = self.division.borrow_mut();
+        let mut division = self.election.borrow_mut();
         let Some(divider) = division.allocator() else {
             return wait_reply(UNHEARD_PAUSE);
         };
@@ -374,7 +377,7 @@
 }
 
 /// Returns the identity under which this node divides.
-fn own_divider(peers: &PeerLinks) -> AllocatorId {
+fn own_divider(peers: &PeerPool) -> AllocatorId {
     let shared = &peers.shared;
     AllocatorId {
         name: shared.settings.name.to_string(),
@@ -384,7 +387,7 @@
 }
 
 /// Finds out whether a node still divides that another one finds lost.
-async fn look_for(peers: Rc<PeerLinks>, holder: SocketAddr, request: WorkRequest) {
+async fn look_for(peers: Rc<PeerPool>, holder: SocketAddr, request: WorkRequest) {
     let state = peers.state(holder);
     if !state.is_looked_for.replace(true) {
         peers.call(holder, &request, ALIVE_LIMIT).await;
--- a/packages/turnford-serve/src/metrics.rs
+++ b/packages/turnford-serve/src/metrics.rs
@@ -55,19 +55,19 @@
     /// A target turned a call away.
     NotRun,
     /// An answer did not come, broke off or made no sense.
-    Broken,
+    CallFailed,
     /// An answer belonged to another request.
-    OtherAttempt,
+    AttemptMismatch,
     /// A connection was opened.
     Connected,
     /// A call of pieces was made.
     Batch,
     /// A target said in an answer that it leaves.
-    SaidLeaving,
+    AnnouncedLeaving,
     /// A target turned a call away and asked for rest.
-    AskedForRest,
+    RequestedBackoff,
     /// A target named in an answer a limit for all nodes together.
-    NamedLimit,
+    AnnouncedLimit,
     /// This node got a permit for a call to such a target.
     Permit,
     /// A call was not made for want of one.
@@ -81,13 +81,13 @@
             ServiceEvent::Repeated => "repeated",
             ServiceEvent::RepeatDenied => "repeat-denied",
             ServiceEvent::NotRun => "not-run",
-            ServiceEvent::Broken => "broken",
-            ServiceEvent::OtherAttempt => "other-attempt",
+            ServiceEvent::CallFailed => "broken",
+            ServiceEvent::AttemptMismatch => "other-attempt",
             ServiceEvent::Connected => "connected",
             ServiceEvent::Batch => "batch",
-            ServiceEvent::SaidLeaving => "said-leaving",
-            ServiceEvent::AskedForRest => "asked-for-rest",
-            ServiceEvent::NamedLimit => "named-limit",
+            ServiceEvent::AnnouncedLeaving => "said-leaving",
+            ServiceEvent::RequestedBackoff => "asked-for-rest",
+            ServiceEvent::AnnouncedLimit => "named-limit",
             ServiceEvent::Permit => "permit",
             ServiceEvent::Limited => "limited",
         }
@@ -225,7 +225,7 @@
     }
 
     /// Counts the end of a request.
-    pub(crate) fn note_end(&self, account: &str, rank: u8, code: ResultCode, time: Duration) {
+    pub(crate) fn record_end(&self, account: &str, rank: u8, code: ResultCode, time: Duration) {
         let labels = EndLabels {
             account: account.to_owned(),
             rank: u32::from(rank),
@@ -238,14 +238,14 @@
     }
 
     /// Counts the time until the first byte of an answer.
-    pub(crate) fn note_head(&self, account: &str, rank: u8, time: Duration) {
+    pub(crate) fn record_first_byte(&self, account: &str, rank: u8, time: Duration) {
         let class = class_labels(account, rank);
         let histogram = self.head_time.get_or_create(&class);
         histogram.observe(time.as_secs_f64());
     }
 
     /// Counts something that happened with a service.
-    pub(crate) fn note_service(&self, service: &str, event: ServiceEvent) {
+    pub(crate) fn record_service_event(&self, service: &str, event: ServiceEvent) {
         let labels = ServiceLabels {
             service: service.to_owned(),
             event: event.label(),
--- a/packages/turnford-serve/src/node.rs
+++ b/packages/turnford-serve/src/node.rs
@@ -160,7 +160,7 @@
         // The traffic thread hands its duties over; a full channel holds a wake-up already.
         let _ = self.shared.changes.try_send(());
         let begun = self.shared.now();
-        let latest = self.shared.end_at().unwrap_or(begun);
+        let latest = self.shared.exit_deadline().unwrap_or(begun);
         let settled = (begun + SETTLE_SPAN).min(latest);
         loop {
             let running = self.shared.running.load(Ordering::SeqCst);
--- a/packages/turnford-serve/src/peers.rs
+++ b/packages/turnford-serve/src/peers.rs
@@ -24,7 +24,7 @@
 use crate::shared::ServeShared;
 
 /// Silence of a node with work of ours after which it is asked whether it is there.
-pub(crate) const SILENCE_SPAN: Duration = Duration::from_millis(150);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Longest wait for that answer.
 pub(crate) const ALIVE_LIMIT: Duration = Duration::from_millis(250);
@@ -48,7 +48,7 @@
 }
 
 impl PeerState {
-    pub(crate) fn takes_work(&self, now: Moment) -> bool {
+    pub(crate) fn accepts_work(&self, now: Moment) -> bool {
         self.down_until.get() <= now && self.refuses_until.get() <= now
     }
 
@@ -60,7 +60,7 @@
 }
 
 /// The calling side of work between nodes; it lives on one thread.
-pub(crate) struct PeerLinks {
+pub(crate) struct PeerPool {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) shared: Arc<ServeShared>,
     pub(crate) client: PeerClient,
@@ -68,7 +68,7 @@
     rng: RefCell<SmallRng>,
 }
 
-impl PeerLinks {
+impl PeerPool {
     pub(crate) fn new(executor: Rc<LocalExecutor<'static>>, shared: Arc<ServeShared>) -> Rc<Self> {
         Rc::new(Self {
             client: PeerClient::new(executor.clone()),
@@ -80,7 +80,7 @@
     }
 
     /// Returns a number from 0 to below 1.
-    pub(crate) fn draw(&self) -> f64 {
+    pub(crate) fn random(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
@@ -89,13 +89,13 @@
     }
 
     /// Returns the address of the node that does a duty, `None` if it is this one.
-    pub(crate) fn doer_of(&self, duty: &Duty) -> Option<SocketAddr> {
+    pub(crate) fn owner_of(&self, duty: &Duty) -> Option<SocketAddr> {
         let now = self.shared.now();
         let view = self.shared.view.load();
         let states = self.states.borrow();
         let is_up = |address: &SocketAddr| {
             let state = states.get(address);
-            state.is_none_or(|state| state.takes_work(now))
+            state.is_none_or(|state| state.accepts_work(now))
         };
         let up = view.members.iter().filter(|member| is_up(&member.work));
         let names = self.shared.settled_names(up);
@@ -147,7 +147,7 @@
         let count = count.min(peers.len());
         for place in 0..count {
             let left = peers.len() - place;
-            let drawn = (self.draw() * left as f64) as usize;
+            let drawn = (self.random() * left as f64) as usize;
             peers.swap(place, place + drawn.min(left - 1));
         }
         peers.truncate(count);
@@ -161,7 +161,7 @@
 }
 
 impl WaitingGuard {
-    pub(crate) fn new(peers: &Rc<PeerLinks>, peer: SocketAddr, state: &Rc<PeerState>) -> Self {
+    pub(crate) fn new(peers: &Rc<PeerPool>, peer: SocketAddr, state: &Rc<PeerState>) -> Self {
         state.waiting.set(state.waiting.get() + 1);
         if !state.is_watched.replace(true) {
             state.heard.set(peers.shared.now());
@@ -181,11 +181,11 @@
 }
 
 /// Asks a node that has work of ours and says nothing whether it is there.
-async fn watch_peer(peers: Rc<PeerLinks>, peer: SocketAddr, state: Rc<PeerState>) {
+async fn watch_peer(peers: Rc<PeerPool>, peer: SocketAddr, state: Rc<PeerState>) {
     while state.waiting.get() > 0 {
-        Timer::after(SILENCE_SPAN).await;
+        Timer::after(SILENCE_TIMEOUT).await;
         let silence = peers.shared.now().saturating_sub(state.heard.get());
-        if state.waiting.get() == 0 || silence < SILENCE_SPAN {
+        if state.waiting.get() == 0 || silence < SILENCE_TIMEOUT {
             continue;
         }
         let request = WorkRequest::Probe;
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -26,7 +26,7 @@
 use crate::batch::run_batch;
 use crate::inputs::InputTracker;
 use crate::limit_news::report_limit;
-use crate::limits::PermitEnd;
+use crate::limits::PermitOutcome;
 use crate::release::release_results;
 use crate::release::PieceResult;
 use crate::service_context::ServiceContext;
@@ -213,7 +213,7 @@
         let unknown = {
             let targets = self.pieces.targets.borrow();
             let awake = self.desk.awake_targets(now, &targets);
-            let limits = self.desk.limits.board.borrow();
+            let limits = self.desk.limits.table.borrow();
             let needs_permit = |target: &TargetSpec| limits.state(&target.id).needs_permit();
             let (limited, free): (Vec<TargetSpec>, Vec<TargetSpec>) =
                 awake.into_iter().partition(needs_permit);
@@ -252,7 +252,7 @@
     }
 
     fn wants_permit(&self, now: Moment, target: &TargetSpec) -> bool {
-        let limits = self.desk.limits.board.borrow();
+        let limits = self.desk.limits.table.borrow();
         let board = self.desk.targets.borrow();
         let is_limited = !limits.is_open(now, &target.id) && limits.may_open(now, &target.id);
         let is_open = board.is_open(now, &target.id) && !board.is_paused(now, &target.id);
@@ -300,7 +300,7 @@
             let outcome = match end {
                 PieceStatus::Completed(handle) => PieceOutcome::Made(PieceResult {
                     handle,
-                    maker: target.clone(),
+                    producer: target.clone(),
                     gatherer: None,
                 }),
                 PieceStatus::InputMissing => PieceOutcome::InputGone,
@@ -383,13 +383,13 @@
 /// Asks for a permit for one target, and looks again when there is one, or may be.
 async fn ask_piece_permit(cell: PieceCell, target: TargetSpec) {
     let limits = &cell.desk.limits;
-    let end = limits.ask_permit(&target, PermitPurpose::Work).await;
-    if matches!(end, PermitEnd::Unknown(_)) {
+    let end = limits.acquire_permit(&target, PermitPurpose::Work).await;
+    if matches!(end, PermitOutcome::Unlimited(_)) {
         report_limit(limits, &target);
     }
-    if let PermitEnd::Wait(span) | PermitEnd::Unknown(span) = end {
+    if let PermitOutcome::Wait(span) | PermitOutcome::Unlimited(span) = end {
         let until = cell.traffic.shared.now() + span;
-        limits.board.borrow_mut().record_denial(&target.id, until);
+        limits.table.borrow_mut().record_denial(&target.id, until);
         Timer::after(span).await;
     }
     cell.pieces.asked.borrow_mut().remove(&target.id);
--- a/packages/turnford-serve/src/placement.rs
+++ b/packages/turnford-serve/src/placement.rs
@@ -24,7 +24,7 @@
 use crate::availability::AvailabilityError;
 use crate::forward::RETRY_AFTER;
 use crate::limit_place::choose_limited;
-use crate::limit_place::LimitedPlace;
+use crate::limit_place::LimitedPlacement;
 use crate::placed_run::note_run;
 use crate::placed_run::PlacedRun;
 use crate::placed_run::PlacementAttempt;
@@ -33,10 +33,10 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 use crate::trial::place_checked;
-use crate::trial::CheckedPlace;
+use crate::trial::CheckedPlacement;
 use crate::trial::SuspectRefusal;
-use crate::trial::HOLD_PAUSE;
-use crate::trial::HOLD_SPAN;
+use crate::trial::SUSPECT_POLL_INTERVAL;
+use crate::trial::SUSPECT_WAIT_TIMEOUT;
 use crate::wait_queue::QueuePosition;
 
 /// Returns the hall that a request's last target will probably be in.
@@ -89,7 +89,7 @@
         deadline: record.deadline,
     };
     let turn = turn_ask(traffic, record, wish);
-    let held_until = turn.requested_at + HOLD_SPAN;
+    let held_until = turn.requested_at + SUSPECT_WAIT_TIMEOUT;
     let mut is_noted = false;
     loop {
         let line_place = match find_turn(traffic, record, desk, wish).await {
@@ -129,7 +129,7 @@
             }
             PlacementAttempt::Held => {}
         }
-        Timer::after(HOLD_PAUSE).await;
+        Timer::after(SUSPECT_POLL_INTERVAL).await;
     }
 }
 
@@ -201,9 +201,9 @@
             return place_here(traffic, desk, digest, need, turn);
         }
     }
-    if desk.limits.board.borrow().has_limits() {
-        let term = desk.limits.division.borrow().term().cloned();
-        desk.limits.enter(term.as_ref());
+    if desk.limits.table.borrow().has_limits() {
+        let term = desk.limits.election.borrow().term().cloned();
+        desk.limits.resolve_role(term.as_ref());
     }
     place_here(traffic, desk, digest, need, turn)
 }
@@ -217,12 +217,12 @@
     turn: &QueuedRequest,
 ) -> PlacementAttempt {
     let (place, is_alone) = match place_checked(traffic, desk, digest, need, turn) {
-        CheckedPlace::Found { place, is_alone } => (place, is_alone),
-        CheckedPlace::Held => return PlacementAttempt::Held,
-        CheckedPlace::Refused(span) => return PlacementAttempt::Refused(span),
+        CheckedPlacement::Found { place, is_alone } => (place, is_alone),
+        CheckedPlacement::Held => return PlacementAttempt::Held,
+        CheckedPlacement::Refused(span) => return PlacementAttempt::Refused(span),
     };
     match place {
-        LimitedPlace::At {
+        LimitedPlacement::Assigned {
             target,
             ticket,
             has_permit,
@@ -237,8 +237,8 @@
                 run: Some(note_run(traffic, desk, None, ticket)),
             }))
         }
-        LimitedPlace::Later(span) => PlacementAttempt::Later(span),
-        LimitedPlace::Full(span) => PlacementAttempt::Full(span),
-        LimitedPlace::Nowhere => PlacementAttempt::Nowhere,
+        LimitedPlacement::Wait(span) => PlacementAttempt::Later(span),
+        LimitedPlacement::Full(span) => PlacementAttempt::Full(span),
+        LimitedPlacement::NoTarget => PlacementAttempt::Nowhere,
     }
 }
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -18,17 +18,17 @@
 
 use crate::admission::short_millis;
 use crate::limit_news::report_limit;
-use crate::limit_place::LimitedPlace;
-use crate::limits::DOUBT_PAUSE;
-use crate::limits::PLACE_LIMIT;
+use crate::limit_place::LimitedPlacement;
+use crate::limits::PLACEMENT_TIMEOUT;
+use crate::limits::UNCONFIRMED_RETRY;
 use crate::placed_run::note_run;
 use crate::placed_run::PlacedRun;
 use crate::placed_run::PlacementAttempt;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 use crate::trial::place_checked;
-use crate::trial::CheckedPlace;
-use crate::trial::HOLD_PAUSE;
+use crate::trial::CheckedPlacement;
+use crate::trial::SUSPECT_POLL_INTERVAL;
 
 /// Pause before another node is asked that is told to place.
 const ELSEWHERE_PAUSE: Duration = Duration::from_millis(2);
@@ -44,7 +44,10 @@
 ) -> Option<PlacementAttempt> {
     let now = traffic.shared.now();
     let request = WorkRequest::Place(place_ask(desk, now, digest, need, turn));
-    let reply = traffic.peers.call(placer, &request, PLACE_LIMIT).await;
+    let reply = traffic
+        .peers
+        .call(placer, &request, PLACEMENT_TIMEOUT)
+        .await;
     let Some(WorkReply::Placed(reply)) = reply else {
         return None;
     };
@@ -81,7 +84,7 @@
         tried: need.tried.iter().map(ToString::to_string).collect(),
         due_ms: millis(need.due),
         remaining_ms: millis(need.deadline),
-        term: desk.limits.division.borrow().term().cloned(),
+        term: desk.limits.election.borrow().term().cloned(),
         entry: QueueEntry {
             number: turn.number,
             ranks: turn.ranks,
@@ -116,13 +119,13 @@
             let target = target.filter(|target| !target.leaving)?;
             if !desk
                 .limits
-                .board
+                .table
                 .borrow()
                 .is_open(traffic.shared.now(), &id)
             {
                 // The other node has not heard of the limit, or this one not of its end.
                 report_limit(&desk.limits, &target);
-                return Some(PlacementAttempt::Later(HOLD_PAUSE));
+                return Some(PlacementAttempt::Later(SUSPECT_POLL_INTERVAL));
             }
             Some(PlacementAttempt::Placed(Box::new(PlacedRun {
                 target,
@@ -134,7 +137,7 @@
         PlaceReply::Wait { wait_ms } => Some(PlacementAttempt::Later(span(wait_ms))),
         PlaceReply::Full { retry_after_ms } => Some(PlacementAttempt::Full(span(retry_after_ms))),
         PlaceReply::Redirect(term) => {
-            desk.limits.note_holder(&term);
+            desk.limits.record_holder(&term);
             Some(PlacementAttempt::Later(ELSEWHERE_PAUSE))
         }
         PlaceReply::NoTarget => None,
@@ -150,14 +153,14 @@
     let Some(desk) = traffic.service(&ask.service) else {
         return WorkReply::Refused;
     };
-    if desk.limits.board.borrow().has_limits() {
-        match desk.limits.enter(ask.term.as_ref()) {
+    if desk.limits.table.borrow().has_limits() {
+        match desk.limits.resolve_role(ask.term.as_ref()) {
             AllocationRole::Allocates { .. } => {}
             AllocationRole::Remote(term) => {
                 return WorkReply::Placed(PlaceReply::Redirect(term));
             }
             AllocationRole::Unconfirmed(_) => {
-                let wait_ms = short_millis(DOUBT_PAUSE);
+                let wait_ms = short_millis(UNCONFIRMED_RETRY);
                 return WorkReply::Placed(PlaceReply::Wait { wait_ms });
             }
         }
@@ -167,18 +170,18 @@
     let turn = asked_turn(&ask, now);
     let need = asked_need(ask, now);
     let reply = match place_checked(traffic, &desk, digest, &need, &turn) {
-        CheckedPlace::Found { place, is_alone } => found_reply(place, is_alone),
-        CheckedPlace::Held => PlaceReply::Held,
-        CheckedPlace::Refused(span) => PlaceReply::Refused {
+        CheckedPlacement::Found { place, is_alone } => found_reply(place, is_alone),
+        CheckedPlacement::Held => PlaceReply::Held,
+        CheckedPlacement::Refused(span) => PlaceReply::Refused {
             retry_after_ms: u64::try_from(span.as_millis()).unwrap_or(u64::MAX),
         },
     };
     WorkReply::Placed(reply)
 }
 
-fn found_reply(place: LimitedPlace, is_alone: bool) -> PlaceReply {
+fn found_reply(place: LimitedPlacement, is_alone: bool) -> PlaceReply {
     match place {
-        LimitedPlace::At {
+        LimitedPlacement::Assigned {
             target,
             ticket,
             has_permit,
@@ -188,13 +191,13 @@
             is_alone,
             has_permit,
         },
-        LimitedPlace::Later(span) => PlaceReply::Wait {
+        LimitedPlacement::Wait(span) => PlaceReply::Wait {
             wait_ms: short_millis(span),
         },
-        LimitedPlace::Full(span) => PlaceReply::Full {
+        LimitedPlacement::Full(span) => PlaceReply::Full {
             retry_after_ms: short_millis(span),
         },
-        LimitedPlace::Nowhere => PlaceReply::NoTarget,
+        LimitedPlacement::NoTarget => PlaceReply::NoTarget,
     }
 }
 
--- a/packages/turnford-serve/src/plain_choice.rs
+++ b/packages/turnford-serve/src/plain_choice.rs
@@ -20,8 +20,8 @@
     tried: &[TargetId],
 ) -> Option<TargetSpec> {
     let own_hall = &traffic.shared.settings.hall;
-    let sharers = traffic.shared.view.load().sharers();
-    let limit = desk.spec.borrow().connection_limit as f64 / sharers;
+    let share_count = traffic.shared.view.load().share_count();
+    let limit = desk.spec.borrow().connection_limit as f64 / share_count;
     let now = traffic.shared.now();
     let board = desk.targets.borrow();
     let cost = |target: &TargetSpec, load: f64| {
--- a/packages/turnford-serve/src/record.rs
+++ b/packages/turnford-serve/src/record.rs
@@ -96,7 +96,7 @@
     pub(crate) fn serve_by(&self) -> Moment {
         let patience = self.route.first_event_timeout;
         let client = patience.map(|patience| self.started_at + patience);
-        let ends = [client, self.shared.end_at()];
+        let ends = [client, self.shared.exit_deadline()];
         let ends = ends.into_iter().flatten();
         ends.fold(self.deadline, Moment::min)
     }
@@ -146,7 +146,7 @@
         self.head.set(Some(time));
         self.shared
             .metrics
-            .note_head(self.account_name(), self.rank, time);
+            .record_first_byte(self.account_name(), self.rank, time);
     }
 
     /// Notes an event of the answer.
@@ -171,7 +171,9 @@
         self.shared.running.fetch_sub(1, Ordering::SeqCst);
         let time = self.shared.now().saturating_sub(self.started_at);
         let account = self.account_name();
-        self.shared.metrics.note_end(account, self.rank, code, time);
+        self.shared
+            .metrics
+            .record_end(account, self.rank, code, time);
         let story = self.story.borrow();
         let head = self.head.get();
         let is_prompt = head.is_some_and(|head| head <= self.route.latency_objective);
--- a/packages/turnford-serve/src/release.rs
+++ b/packages/turnford-serve/src/release.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PieceResult {
     pub(crate) handle: String,
-    pub(crate) maker: TargetSpec,
+    pub(crate) producer: TargetSpec,
     /// Node that gathered the piece, `None` for this one.
     pub(crate) gatherer: Option<SocketAddr>,
 }
@@ -48,10 +48,10 @@
 
 impl ResultReleaser {
     /// Returns the target that keeps the results of a place.
-    fn maker(&self, place: &ReleasePlace) -> Option<TargetSpec> {
+    fn producer(&self, place: &ReleasePlace) -> Option<TargetSpec> {
         let waiting = self.waiting.borrow();
         let first = waiting.get(place).and_then(|results| results.first());
-        first.map(|result| result.maker.clone())
+        first.map(|result| result.producer.clone())
     }
 }
 
@@ -59,7 +59,7 @@
 pub(crate) fn release_results(traffic: &Rc<Traffic>, results: Vec<PieceResult>) {
     for result in results {
         let mut waiting = traffic.releaser.waiting.borrow_mut();
-        let place = (result.maker.id.clone(), result.gatherer);
+        let place = (result.producer.id.clone(), result.gatherer);
         let queue = waiting.entry(place.clone()).or_default();
         queue.push(result);
         if queue.len() == 1 {
@@ -79,20 +79,20 @@
             return;
         }
     }
-    let Some(maker) = results.first().map(|result| result.maker.clone()) else {
+    let Some(producer) = results.first().map(|result| result.producer.clone()) else {
         return;
     };
-    let Some(desk) = traffic.service(&maker.service) else {
+    let Some(desk) = traffic.service(&producer.service) else {
         return;
     };
     let handles: Vec<String> = results.into_iter().map(|result| result.handle).collect();
-    if !has_call || !wait_rest(&traffic, &desk, &maker, handles.len()).await {
+    if !has_call || !wait_rest(&traffic, &desk, &producer, handles.len()).await {
         return;
     }
-    if let Err(reason) = send_handles(&traffic, &desk, &maker, &handles).await {
+    if let Err(reason) = send_handles(&traffic, &desk, &producer, &handles).await {
         log::debug!(
             "target={} results={} not given up: {reason}",
-            maker.id,
+            producer.id,
             handles.len()
         );
         return;
@@ -103,16 +103,16 @@
 /// Waits for a call to a target with a limit, while more results are gathered; false if there is none before
 /// they go by themselves.
 async fn wait_call(traffic: &Rc<Traffic>, place: &ReleasePlace) -> bool {
-    let Some(maker) = traffic.releaser.maker(place) else {
+    let Some(producer) = traffic.releaser.producer(place) else {
         return false;
     };
-    let Some(desk) = traffic.service(&maker.service) else {
+    let Some(desk) = traffic.service(&producer.service) else {
         return false;
     };
     let until = traffic.shared.now() + kept_span(&desk);
-    let has_call = desk.limits.wait_permit(&maker, until).await;
+    let has_call = desk.limits.wait_permit(&producer, until).await;
     if !has_call {
-        log::info!("target={} has no call for a release", maker.id);
+        log::info!("target={} has no call for a release", producer.id);
     }
     has_call
 }
@@ -127,20 +127,20 @@
 async fn wait_rest(
     traffic: &Traffic,
     desk: &ServiceContext,
-    maker: &TargetSpec,
+    producer: &TargetSpec,
     results: usize,
 ) -> bool {
     let latest = traffic.shared.now() + kept_span(desk);
     loop {
         let now = traffic.shared.now();
-        let rests_until = desk.targets.borrow().backoff_until(now, &maker.id);
+        let rests_until = desk.targets.borrow().backoff_until(now, &producer.id);
         let Some(until) = rests_until else {
             return true;
         };
         let left = until.saturating_sub(now).as_millis();
         log::info!(
             "target={} rests for {left}ms and keeps results={results}",
-            maker.id
+            producer.id
         );
         if until > latest {
             return false;
@@ -152,13 +152,13 @@
 async fn send_handles(
     traffic: &Rc<Traffic>,
     desk: &Rc<ServiceContext>,
-    maker: &TargetSpec,
+    producer: &TargetSpec,
     handles: &[String],
 ) -> Result<(), String> {
-    let host = maker.address.to_string();
-    let request = encode_release(&host, &maker.id, handles).map_err(|p| p.to_string())?;
+    let host = producer.address.to_string();
+    let request = encode_release(&host, &producer.id, handles).map_err(|p| p.to_string())?;
     let purpose = CallPurpose::Maintenance;
-    let answer = call_target(traffic, desk, maker, request, purpose, RELEASE_LIMIT).await;
+    let answer = call_target(traffic, desk, producer, request, purpose, RELEASE_LIMIT).await;
     let answer = answer.map_err(|fault| format!("{fault:?}"))?;
     let read = answer.collect(traffic, ANSWER_LIMIT).await;
     read.map(|_| ()).map_err(|fault| format!("{fault:?}"))
--- a/packages/turnford-serve/src/request.rs
+++ b/packages/turnford-serve/src/request.rs
@@ -37,7 +37,7 @@
 use crate::stages::run_stages;
 use crate::stages::StageError;
 use crate::traffic::Traffic;
-use crate::trial::enter_suspect;
+use crate::trial::admit_suspect;
 use crate::trial::SuspectRefusal;
 
 /// Times that the stages of a request run when their results are gone before they are used.
@@ -86,7 +86,7 @@
         }
     };
     record.digest.set(digest_of(&record, &parts, &body));
-    let suspect = match enter_suspect(&traffic, &record).await {
+    let suspect = match admit_suspect(&traffic, &record).await {
         Ok(suspect) => suspect,
         Err(refusal) => return refuse_suspect(&record, &refusal),
     };
@@ -180,7 +180,7 @@
         parts.uri.path(),
     );
     let metrics = &traffic.shared.metrics;
-    metrics.note_end("-", u8::MAX, refusal.code, Duration::ZERO);
+    metrics.record_end("-", u8::MAX, refusal.code, Duration::ZERO);
     error_response(
         &attempt,
         refusal.code,
@@ -294,7 +294,7 @@
     record: &RequestRecord,
     refusal: &SuspectRefusal,
 ) -> Response<ResponseBody> {
-    refuse_admitted(record, refusal.code, refusal.reason(), refusal.back_after)
+    refuse_admitted(record, refusal.code, refusal.reason(), refusal.retry_after)
 }
 
 /// Refuses a request that no target takes in time.
--- a/packages/turnford-serve/src/results.rs
+++ b/packages/turnford-serve/src/results.rs
@@ -43,7 +43,7 @@
         for &stage in stages {
             let bytes = record.route.stages[stage].result_bytes;
             for result in &self.stages[stage] {
-                let hall = &result.maker.hall;
+                let hall = &result.producer.hall;
                 match halls.iter_mut().find(|(other, _)| other == hall) {
                     Some((_, sum)) => *sum += bytes,
                     None => halls.push((hall.clone(), bytes)),
@@ -56,7 +56,7 @@
     /// Returns the hall in which most results of some stages lie.
     pub(crate) fn main_hall(&self, stages: &[usize]) -> Option<Arc<str>> {
         let results = stages.iter().flat_map(|&stage| &self.stages[stage]);
-        let mut halls: Vec<Arc<str>> = results.map(|result| result.maker.hall.clone()).collect();
+        let mut halls: Vec<Arc<str>> = results.map(|result| result.producer.hall.clone()).collect();
         halls.sort_unstable();
         let runs = halls.chunk_by(|left, right| left == right);
         let longest = runs.max_by_key(|run| run.len())?;
--- a/packages/turnford-serve/src/service_context.rs
+++ b/packages/turnford-serve/src/service_context.rs
@@ -134,14 +134,14 @@
                 "the target comes back from its rest",
             ));
         }
-        let has_permit = self.limits.board.borrow_mut().try_acquire(now, target);
+        let has_permit = self.limits.table.borrow_mut().try_acquire(now, target);
         (!has_permit).then_some(CallError::Limited)
     }
 
     /// Returns those of a cell's targets that take a further call of this node.
     pub(crate) fn awake_targets(&self, now: Moment, targets: &[TargetSpec]) -> Vec<TargetSpec> {
         let board = self.targets.borrow();
-        let limits = self.limits.board.borrow();
+        let limits = self.limits.table.borrow();
         let awake = targets
             .iter()
             .filter(|target| board.is_open(now, &target.id) && limits.is_open(now, &target.id));
@@ -173,7 +173,7 @@
         let pieces = u32::try_from(batch.max_pieces.max(1)).unwrap_or(u32::MAX);
         let span = batch.call_overhead + batch.piece_time * pieces;
         let full = batch.slots.max(1) as f64 / span.as_secs_f64().max(0.001);
-        let limits = self.limits.board.borrow();
+        let limits = self.limits.table.borrow();
         let calls = awake.iter().map(|target| match limits.state(&target.id) {
             LimitState::Limited(rate) => full.min(rate),
             LimitState::Free | LimitState::Easing => full,
--- a/packages/turnford-serve/src/shared.rs
+++ b/packages/turnford-serve/src/shared.rs
@@ -65,7 +65,7 @@
 
 impl RouteView {
     /// Returns the number of nodes to share fleet-wide limits with.
-    pub(crate) fn sharers(&self) -> f64 {
+    pub(crate) fn share_count(&self) -> f64 {
         self.fleet.max(LEAST_FLEET) as f64
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Returns when the process ends at the latest, `None` while it is not stopping.
-    pub(crate) fn end_at(&self) -> Option<Moment> {
+    pub(crate) fn exit_deadline(&self) -> Option<Moment> {
         let begun = self.stop_begun.load(Ordering::SeqCst);
         let begun = (begun > 0).then(|| Duration::from_millis(begun))?;
         Some(begun + self.settings.stop_grace.saturating_sub(EXIT_MARGIN))
@@ -163,7 +163,7 @@
 
     /// Tells whether a new request of a kind can be finished before the process ends.
     pub(crate) fn can_finish(&self, kind: CallKind, timeout: Duration) -> bool {
-        let Some(end) = self.end_at() else {
+        let Some(end) = self.exit_deadline() else {
             return true;
         };
         let span = if kind == CallKind::Stream {
--- a/packages/turnford-serve/src/signals.rs
+++ b/packages/turnford-serve/src/signals.rs
@@ -13,8 +13,8 @@
 use turnford_policy::TargetSpec;
 
 use crate::backoff::apply_backoff;
-use crate::leaving::hear_leaving;
-use crate::limit_news::hear_limit;
+use crate::leaving::process_leaving;
+use crate::limit_news::process_limit;
 use crate::metrics::ServiceEvent;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
@@ -34,11 +34,11 @@
     });
     let metrics = &traffic.shared.metrics;
     if word.is_leaving {
-        metrics.note_service(&target.service, ServiceEvent::SaidLeaving);
-        hear_leaving(traffic, desk, target);
+        metrics.record_service_event(&target.service, ServiceEvent::AnnouncedLeaving);
+        process_leaving(traffic, desk, target);
     }
     if let Some(rest) = word.backoff {
-        metrics.note_service(&target.service, ServiceEvent::AskedForRest);
+        metrics.record_service_event(&target.service, ServiceEvent::RequestedBackoff);
         log::info!(
             "target={} asks for rest of {}ms: request={}",
             target.id,
@@ -70,12 +70,12 @@
     };
     if signal.rate().is_some() {
         let metrics = &traffic.shared.metrics;
-        metrics.note_service(&target.service, ServiceEvent::NamedLimit);
+        metrics.record_service_event(&target.service, ServiceEvent::AnnouncedLimit);
     }
     let heard = LimitObservation {
         signal,
         sent_at: sent,
         received_at: traffic.shared.now(),
     };
-    hear_limit(&desk.limits, target, heard, attempt.unwrap_or("-"));
+    process_limit(&desk.limits, target, heard, attempt.unwrap_or("-"));
 }
--- a/packages/turnford-serve/src/stream.rs
+++ b/packages/turnford-serve/src/stream.rs
@@ -15,9 +15,9 @@
 use crate::answer::BodyTruncated;
 use crate::answer::ResponseBody;
 use crate::call::TargetResponse;
-use crate::crash::note_good_end;
+use crate::crash::record_clean_end;
 use crate::crash::BrokenCall;
-use crate::crash_check::check_break;
+use crate::crash_check::check_broken_call;
 use crate::placed_run::PlacedRun;
 use crate::record::RequestRecord;
 use crate::service_context::ServiceContext;
@@ -46,7 +46,7 @@
             let end = pass_chunks(&record, &desk, &placed, body, &sender).await;
             if end == RelayEnd::Whole {
                 rest.finish(&traffic);
-                note_good_end(&traffic, &record.digest.get());
+                record_clean_end(&traffic, &record.digest.get());
                 record.end(ResultCode::Done, "");
                 return;
             }
@@ -55,11 +55,11 @@
                     digest: record.digest.get(),
                     target: placed.target.clone(),
                     is_alone: placed.is_alone,
-                    has_begun: true,
+                    has_started: true,
                     at: traffic.shared.now(),
                 };
                 // It goes on after the client has its answer's end.
-                let check = check_break(traffic.clone(), desk, call, placed);
+                let check = check_broken_call(traffic.clone(), desk, call, placed);
                 traffic.executor.spawn(check).detach();
             }
             record.end(ResultCode::StreamBroken, "the stream broke off");
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -15,11 +15,11 @@
 use turnford_policy::ServiceId;
 use turnford_policy::ServiceSpec;
 
-use crate::crash::CrashDesk;
-use crate::crash_check::check_starts;
+use crate::crash::CrashTracker;
+use crate::crash_check::check_restarts;
 use crate::leaving::LeavingQueue;
 use crate::limits::ServiceLimits;
-use crate::peers::PeerLinks;
+use crate::peers::PeerPool;
 use crate::pieces::PieceCell;
 use crate::progress::ProgressQueue;
 use crate::release::ResultReleaser;
@@ -37,10 +37,10 @@
     pub(crate) shelf: RefCell<ConnectionPool>,
     pub(crate) releaser: ResultReleaser,
     /// The other nodes.
-    pub(crate) peers: Rc<PeerLinks>,
+    pub(crate) peers: Rc<PeerPool>,
     pub(crate) progress: ProgressQueue,
     /// Requests under which targets crashed.
-    pub(crate) crashes: CrashDesk,
+    pub(crate) crashes: CrashTracker,
     /// Words of targets that leave which are not told yet.
     pub(crate) leaving: LeavingQueue,
     /// Ends when the node is about to end.
@@ -56,7 +56,7 @@
         shared: Arc<ServeShared>,
         ending: Receiver<()>,
     ) -> Rc<Self> {
-        let peers = PeerLinks::new(executor.clone(), shared.clone());
+        let peers = PeerPool::new(executor.clone(), shared.clone());
         Rc::new(Self {
             executor,
             shared,
@@ -64,7 +64,7 @@
             releaser: ResultReleaser::default(),
             peers,
             progress: ProgressQueue::default(),
-            crashes: CrashDesk::default(),
+            crashes: CrashTracker::default(),
             leaving: LeavingQueue::default(),
             ending,
             desks: RefCell::default(),
@@ -92,7 +92,7 @@
 
     /// Returns a number from 0 to below 1.
     pub(crate) fn random(&self) -> f64 {
-        self.peers.draw()
+        self.peers.random()
     }
 
     /// Returns what the control thread knows now, with the services made from it. A request that
@@ -114,12 +114,12 @@
                 .entry(spec.name.clone())
                 .or_insert_with(|| self.new_desk(spec));
             *desk.spec.borrow_mut() = spec.clone();
-            let slack = self.shared.settings.repeats.slack / view.sharers();
+            let slack = self.shared.settings.repeats.slack / view.share_count();
             desk.allowance.borrow_mut().set_slack(slack);
         }
         for (service, desk) in desks.iter() {
             self.refresh_targets(view, service, desk);
-            check_starts(self, desk);
+            check_restarts(self, desk);
         }
     }
 
@@ -154,11 +154,11 @@
             }
             self.shelf.borrow_mut().close_all(target.address);
             if listed.is_none() && target.leaving {
-                self.crashes.note_left(&target);
+                self.crashes.record_departure(&target);
             }
         }
         let now = self.shared.now();
-        desk.limits.board.borrow_mut().retain_listed(now, &board);
+        desk.limits.table.borrow_mut().retain_listed(now, &board);
         let mut engines = desk.engines.borrow_mut();
         engines.retain_listed(&board);
         if let Some(engine) = &desk.spec.borrow().engine {
--- a/packages/turnford-serve/src/trial.rs
+++ b/packages/turnford-serve/src/trial.rs
@@ -14,26 +14,26 @@
 
 use crate::crash::SuspectGuard;
 use crate::limit_place::place_limited;
-use crate::limit_place::LimitedPlace;
+use crate::limit_place::LimitedPlacement;
 use crate::record::RequestRecord;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
 /// Longest time for which a suspect waits for another copy of it: most have ended or crashed their
 /// target by then.
-pub(crate) const HOLD_SPAN: Duration = Duration::from_millis(500);
+pub(crate) const SUSPECT_WAIT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Pause between looks whether a suspect may run.
-pub(crate) const HOLD_PAUSE: Duration = Duration::from_millis(40);
+pub(crate) const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Time to come back to a request of which another copy is on trial: most streams have ended by then.
 pub(crate) const TRIAL_SPAN: Duration = Duration::from_secs(1);
 
 /// Where a request may run, by what this node knows.
-pub(crate) enum CheckedPlace {
+pub(crate) enum CheckedPlacement {
     /// What targets there are for it.
     Found {
-        place: LimitedPlace,
+        place: LimitedPlacement,
         /// Whether it is the only suspect there.
         is_alone: bool,
     },
@@ -46,7 +46,7 @@
 /// Why a request is not run that may crash targets.
 pub(crate) struct SuspectRefusal {
     pub(crate) code: ResultCode,
-    pub(crate) back_after: Duration,
+    pub(crate) retry_after: Duration,
 }
 
 impl SuspectRefusal {
@@ -54,15 +54,15 @@
     pub(crate) fn on_trial() -> Self {
         Self {
             code: ResultCode::OnTrial,
-            back_after: TRIAL_SPAN,
+            retry_after: TRIAL_SPAN,
         }
     }
 
     /// Makes the refusal of a request that crashes targets.
-    pub(crate) fn crashes_targets(back_after: Duration) -> Self {
+    pub(crate) fn crashes_targets(retry_after: Duration) -> Self {
         Self {
             code: ResultCode::CrashesTargets,
-            back_after,
+            retry_after,
         }
     }
 
@@ -81,7 +81,7 @@
 /// # Errors
 ///
 /// Returns why it is refused.
-pub(crate) async fn enter_suspect(
+pub(crate) async fn admit_suspect(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
 ) -> Result<Option<SuspectGuard>, SuspectRefusal> {
@@ -91,18 +91,18 @@
         match traffic.crashes.verdict(now, &digest) {
             CrashVerdict::Clear => return Ok(None),
             CrashVerdict::Refused(until) => {
-                let back_after = until.saturating_sub(now);
-                return Err(SuspectRefusal::crashes_targets(back_after));
+                let retry_after = until.saturating_sub(now);
+                return Err(SuspectRefusal::crashes_targets(retry_after));
             }
             CrashVerdict::Suspect { .. } if !traffic.crashes.is_running(&digest) => {
                 return Ok(Some(SuspectGuard::new(traffic, digest)));
             }
             CrashVerdict::Suspect { .. } => {}
         }
-        if now.saturating_sub(record.started_at) >= HOLD_SPAN {
+        if now.saturating_sub(record.started_at) >= SUSPECT_WAIT_TIMEOUT {
             return Err(SuspectRefusal::on_trial());
         }
-        Timer::after(HOLD_PAUSE).await;
+        Timer::after(SUSPECT_POLL_INTERVAL).await;
     }
 }
 
@@ -113,19 +113,21 @@
     digest: RequestDigest,
     need: &PlacementRequest,
     turn: &QueuedRequest,
-) -> CheckedPlace {
+) -> CheckedPlacement {
     let now = traffic.shared.now();
     let verdict = traffic.crashes.verdict(now, &digest);
     let mut trials = desk.trials.borrow_mut();
     let (is_alone, taken) = match trials.admit(now, &digest, verdict) {
         TrialAdmission::Unrestricted => {
-            return CheckedPlace::Found {
+            return CheckedPlacement::Found {
                 place: place_limited(traffic, desk, need, turn),
                 is_alone: false,
             }
         }
-        TrialAdmission::Refused(until) => return CheckedPlace::Refused(until.saturating_sub(now)),
-        TrialAdmission::Held => return CheckedPlace::Held,
+        TrialAdmission::Refused(until) => {
+            return CheckedPlacement::Refused(until.saturating_sub(now))
+        }
+        TrialAdmission::Held => return CheckedPlacement::Held,
         TrialAdmission::OnTrial { is_alone, taken } => (is_alone, taken),
     };
     let is_any_taken = !taken.is_empty();
@@ -133,11 +135,11 @@
     need.tried.extend(taken);
     let place = place_limited(traffic, desk, &need, turn);
     match &place {
-        LimitedPlace::At { target, ticket, .. } => {
+        LimitedPlacement::Assigned { target, ticket, .. } => {
             trials.start(*ticket, digest, target.id.clone(), is_alone, need.deadline);
         }
-        LimitedPlace::Nowhere if is_any_taken => return CheckedPlace::Held,
-        LimitedPlace::Nowhere | LimitedPlace::Later(_) | LimitedPlace::Full(_) => {}
+        LimitedPlacement::NoTarget if is_any_taken => return CheckedPlacement::Held,
+        LimitedPlacement::NoTarget | LimitedPlacement::Wait(_) | LimitedPlacement::Full(_) => {}
     }
-    CheckedPlace::Found { place, is_alone }
+    CheckedPlacement::Found { place, is_alone }
 }
