--- a/packages/turnford-serve/src/control.rs
+++ b/packages/turnford-serve/src/control.rs
@@ -4,11 +4,11 @@
 mod context;
 mod follow;
 mod members;
-mod news;
+mod notify;
 mod peers;
-mod sleep;
 mod source;
 mod suspects;
+mod suspend;
 mod targets;
 mod view;
 
@@ -19,9 +19,9 @@
 
 use turnford_policy::ClientLimits;
 
-use crate::entry::accept_links;
-use crate::entry::answer_metrics;
-use crate::entry::answer_probe;
+use crate::accept::accept_links;
+use crate::accept::answer_metrics;
+use crate::accept::answer_probe;
 use crate::shared::ServeShared;
 use context::ControlContext;
 
@@ -97,7 +97,9 @@
     executor
         .spawn(suspects::keep_suspects(context.clone()))
         .detach();
-    executor.spawn(sleep::watch_sleep(context.clone())).detach();
-    executor.spawn(news::spread_news(context)).detach();
+    executor
+        .spawn(suspend::watch_sleep(context.clone()))
+        .detach();
+    executor.spawn(notify::spread_news(context)).detach();
     async_io::block_on(executor.run(stop));
 }
--- a/packages/turnford-serve/src/control/members.rs
+++ b/packages/turnford-serve/src/control/members.rs
@@ -21,7 +21,7 @@
 use turnford_wire::ControlRequest;
 
 use super::context::ControlContext;
-use super::news::compare_mark;
+use super::notify::compare_mark;
 use super::suspects::learn_suspects;
 use crate::shared::FleetMember;
 use crate::shared::RouteView;
--- a/packages/turnford-serve/src/control/peers.rs
+++ b/packages/turnford-serve/src/control/peers.rs
@@ -12,7 +12,7 @@
 
 use super::context::ControlContext;
 use super::members;
-use super::news;
+use super::notify;
 use super::view;
 
 /// Serves the inner protocol for as long as the node runs.
@@ -27,14 +27,14 @@
     match request {
         ControlRequest::Ping { gossip, digest, .. } => {
             if let Some(from) = gossip.first() {
-                news::compare_mark(&context, from.address, digest);
+                notify::compare_mark(&context, from.address, digest);
             }
             members::answer_ping(&context, gossip)
         }
         ControlRequest::PingVia { target } => members::answer_ping_via(&context, target).await,
         ControlRequest::MemberPull => members::answer_member_pull(&context),
         ControlRequest::Notify { from, digest } => {
-            news::compare_mark(&context, from, digest);
+            notify::compare_mark(&context, from, digest);
             ControlReply::Ack
         }
         ControlRequest::ViewPull {
--- a/packages/turnford-serve/src/control/suspects.rs
+++ b/packages/turnford-serve/src/control/suspects.rs
@@ -13,7 +13,7 @@
 use turnford_policy::RequestDigest;
 
 use super::context::ControlContext;
-use crate::kept::KeepOrder;
+use crate::suspect_channel::KeepOrder;
 
 /// Longest time for a call to the store.
 const STORE_LIMIT: Duration = Duration::from_millis(1500);
--- a/packages/turnford-serve/src/crash.rs
+++ b/packages/turnford-serve/src/crash.rs
@@ -18,11 +18,11 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
-use crate::crash_news::tell_crashes;
-use crate::crash_news::tell_placers;
+use crate::crash_updates::tell_crashes;
+use crate::crash_updates::tell_placers;
 use crate::fanout::NewsQueue;
-use crate::keeping::forget_cleared;
-use crate::keeping::keep_crashed;
+use crate::suspect_persistence::forget_cleared;
+use crate::suspect_persistence::keep_crashed;
 use crate::traffic::Traffic;
 
 /// Time after a call broke in which another start of its target, or the end of its entry, tells that
--- a/packages/turnford-serve/src/crash_news.rs
+++ b/packages/turnford-serve/src/crash_updates.rs
@@ -22,7 +22,7 @@
 use crate::fanout::notify_peers;
 use crate::fanout::notify_sample;
 use crate::fanout::ANSWER_LIMIT;
-use crate::keeping::take_kept;
+use crate::suspect_persistence::take_kept;
 use crate::traffic::Traffic;
 
 /// Time in which news is gathered: neighbours at one target are found out together.
--- a/packages/turnford-serve/src/lib.rs
+++ b/packages/turnford-serve/src/lib.rs
@@ -3,6 +3,7 @@
 //! One thread follows the store and the other nodes; one serves requests from snapshots of what
 //! the first knows.
 
+mod accept;
 mod admission;
 mod answer;
 mod availability;
@@ -13,18 +14,15 @@
 mod control;
 mod crash;
 mod crash_check;
-mod crash_news;
-mod entry;
+mod crash_updates;
 mod fanout;
 mod feasibility;
 mod forward;
 mod inputs;
-mod keeping;
-mod kept;
 mod leaving;
-mod limit_news;
-mod limit_place;
-mod limit_watch;
+mod limit_placement;
+mod limit_sync;
+mod limit_updates;
 mod limits;
 mod metrics;
 mod node;
@@ -45,6 +43,8 @@
 mod stage;
 mod stages;
 mod stream;
+mod suspect_channel;
+mod suspect_persistence;
 mod traffic;
 mod trial;
 mod wait;
--- a/packages/turnford-serve/src/limit_place.rs
+++ b/packages/turnford-serve/src/limit_placement.rs
@@ -11,7 +11,7 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
-use crate::limit_news::report_limit;
+use crate::limit_updates::report_limit;
 use crate::limits::PermitOutcome;
 use crate::plain_choice::choose_target;
 use crate::service_context::ServiceContext;
--- a/packages/turnford-serve/src/limit_watch.rs
+++ b/packages/turnford-serve/src/limit_sync.rs
@@ -15,8 +15,8 @@
 
 use crate::fanout::ANSWER_LIMIT;
 use crate::leaving::ask_health;
-use crate::limit_news::own_news;
-use crate::limit_news::take_limits;
+use crate::limit_updates::own_news;
+use crate::limit_updates::take_limits;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -25,7 +25,7 @@
 use crate::batch::ask_report;
 use crate::batch::run_batch;
 use crate::inputs::InputTracker;
-use crate::limit_news::report_limit;
+use crate::limit_updates::report_limit;
 use crate::limits::PermitOutcome;
 use crate::release::release_results;
 use crate::release::PieceResult;
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -17,8 +17,8 @@
 use turnford_wire::WorkRequest;
 
 use crate::admission::short_millis;
-use crate::limit_news::report_limit;
-use crate::limit_place::LimitedPlacement;
+use crate::limit_placement::LimitedPlacement;
+use crate::limit_updates::report_limit;
 use crate::limits::PLACEMENT_TIMEOUT;
 use crate::limits::UNCONFIRMED_RETRY;
 use crate::placed_run::note_run;
--- a/packages/turnford-serve/src/shared.rs
+++ b/packages/turnford-serve/src/shared.rs
@@ -22,8 +22,8 @@
 use turnford_policy::TargetSpec;
 use turnford_policy::ThreadHeartbeat;
 
-use crate::kept::KeptSuspects;
 use crate::metrics::ServeMetrics;
+use crate::suspect_channel::KeptSuspects;
 
 /// Least number of nodes that shares of fleet-wide limits are reckoned with, so that a node that
 /// knows nobody yet does not take the limit for its own.
--- a/packages/turnford-serve/src/signals.rs
+++ b/packages/turnford-serve/src/signals.rs
@@ -14,7 +14,7 @@
 
 use crate::backoff::apply_backoff;
 use crate::leaving::process_leaving;
-use crate::limit_news::process_limit;
+use crate::limit_updates::process_limit;
 use crate::metrics::ServiceEvent;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
--- a/packages/turnford-serve/src/keeping.rs
+++ b/packages/turnford-serve/src/suspect_persistence.rs
@@ -9,7 +9,7 @@
 use turnford_policy::RequestDigest;
 
 use crate::crash::take_crash;
-use crate::kept::KeepOrder;
+use crate::suspect_channel::KeepOrder;
 use crate::traffic::Traffic;
 
 /// Crashes from which on a request is kept: one tells too little, and has many neighbours.
--- a/packages/turnford-serve/src/trial.rs
+++ b/packages/turnford-serve/src/trial.rs
@@ -13,8 +13,8 @@
 use turnford_policy::ResultCode;
 
 use crate::crash::SuspectGuard;
-use crate::limit_place::place_limited;
-use crate::limit_place::LimitedPlacement;
+use crate::limit_placement::place_limited;
+use crate::limit_placement::LimitedPlacement;
 use crate::record::RequestRecord;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
