--- a/packages/turnford-serve/src/node.rs
+++ b/packages/turnford-serve/src/node.rs
@@ -24,18 +24,18 @@
 use turnford_policy::SystemClock;
 use turnford_policy::ThreadHeartbeat;
 
+use crate::accept::accept_links;
+use crate::accept::handle_client;
 use crate::control::run_control;
 use crate::control::ControlListeners;
-use crate::crash_news::compare_crashes;
-use crate::crash_news::learn_crashes;
-use crate::entry::accept_links;
-use crate::entry::handle_client;
-use crate::kept::KeptSuspects;
+use crate::crash_updates::compare_crashes;
+use crate::crash_updates::learn_crashes;
 use crate::leaving::ask_leaving;
-use crate::limit_watch::follow_limits;
+use crate::limit_sync::follow_limits;
 use crate::metrics::ServeMetrics;
 use crate::shared::RouteView;
 use crate::shared::ServeShared;
+use crate::suspect_channel::KeptSuspects;
 use crate::traffic::close_idle_connections;
 use crate::traffic::follow_changes;
 use crate::traffic::Traffic;
@@ -160,7 +160,7 @@
         // The traffic thread hands its duties over; a full channel holds a wake-up already.
         let _ = self.shared.changes.try_send(());
         let begun = self.shared.now();
-        let latest = self.shared.end_at().unwrap_or(begun);
+        let latest = self.shared.exit_deadline().unwrap_or(begun);
         let settled = (begun + SETTLE_SPAN).min(latest);
         loop {
             let running = self.shared.running.load(Ordering::SeqCst);
