--- a/packages/turnford-policy/src/route/engine.rs
+++ b/packages/turnford-policy/src/route/engine.rs
@@ -9,7 +9,7 @@
 use crate::Moment;
 use crate::TargetId;
 
-use super::read_queue::ReadQueue;
+use super::prefill_queue::ReadQueue;
 use super::LatencyModel;
 use super::ProcessStart;
 use super::PromptAffinity;
--- a/packages/turnford-policy/src/route/target_table.rs
+++ b/packages/turnford-policy/src/route/target_table.rs
@@ -8,8 +8,8 @@
 use crate::TargetId;
 
 use super::config::ProcessStart;
-use super::entry::BoardEntry;
-use super::entry::LoadSample;
+use super::target_record::BoardEntry;
+use super::target_record::LoadSample;
 use super::TargetSpec;
 
 /// Weight of the newest sample in averages of failures and times.
