--- a/packages/turnford-config/src/account.rs
+++ b/packages/turnford-config/src/account.rs
@@ -10,7 +10,7 @@
 use crate::reader::read_file;
 use crate::reader::TableReader;
 use crate::template::LONGEST_DEADLINE_MS;
-use crate::ConfigProblem;
+use crate::ConfigError;
 use crate::LOWEST_CLASS;
 
 /// Length of a hashed key in hexadecimal digits.
@@ -47,7 +47,7 @@
     /// Requests at a time over the whole fleet.
     pub concurrency: u32,
     /// Longest input in bytes.
-    pub max_input: usize,
+    pub max_input_bytes: usize,
     /// Weight of cost against attainment, from 0 to 1.
     pub cost_weight: f64,
     /// Templates that the account may use.
@@ -60,13 +60,13 @@
     /// # Errors
     ///
     /// Returns every problem of the file.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigProblem>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         read_file(file, text, read_account)
     }
 }
 
 /// Hashes an account key as account files store it.
-pub fn hash_key(key: &str) -> String {
+pub fn hash_api_key(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -78,7 +78,7 @@
     let share = reader.number_or("share", 0.01..=100.0, 1.0);
     let rate = reader.number_or("rate", 0.01..=1_000_000.0, 100.0);
     let concurrency = reader.integer_or("concurrency", 1..=1_000_000, 1000);
-    let max_input = reader.integer_or("max_input_bytes", 1..=1_000_000, 100_000);
+    let max_input_bytes = reader.integer_or("max_input_bytes", 1..=1_000_000, 100_000);
     let cost_weight = reader.number_or("cost_weight", 0.0..=1.0, 0.0);
     let templates = reader.named_tables("templates", read_parameters);
     if templates.is_empty() {
@@ -91,7 +91,7 @@
         share,
         rate,
         concurrency: concurrency as u32,
-        max_input: max_input as usize,
+        max_input_bytes: max_input_bytes as usize,
         cost_weight,
         templates: templates.into_iter().collect(),
     })
--- a/packages/turnford-config/src/lib.rs
+++ b/packages/turnford-config/src/lib.rs
@@ -11,13 +11,13 @@
 mod settings;
 mod template;
 
-pub use account::hash_key;
+pub use account::hash_api_key;
 pub use account::ClientAccount;
 pub use account::TemplateParameters;
 pub use object::ConfigObject;
 pub use object::ObjectKind;
-pub use problem::ConfigProblem;
-pub use serve::RepeatSettings;
+pub use problem::ConfigError;
+pub use serve::RetrySettings;
 pub use serve::ServeSettings;
 pub use settings::LogLevel;
 pub use settings::LogSettings;
--- a/packages/turnford-config/src/object.rs
+++ b/packages/turnford-config/src/object.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use crate::ClientAccount;
-use crate::ConfigProblem;
+use crate::ConfigError;
 use crate::PipelineTemplate;
 
 /// Kind of a configuration object; also the folder of its key.
@@ -17,7 +17,7 @@
 
 impl ObjectKind {
     /// Words of keys and of the command line.
-    pub const WORDS: [(&'static str, ObjectKind); 2] = [
+    pub const NAMES: [(&'static str, ObjectKind); 2] = [
         ("template", ObjectKind::Template),
         ("account", ObjectKind::Account),
     ];
@@ -38,7 +38,7 @@
     /// Returns the kind and name of a key.
     pub fn split_key(key: &str) -> Option<(ObjectKind, &str)> {
         let (word, name) = key.strip_prefix("config/")?.split_once('/')?;
-        let found = Self::WORDS.iter().find(|(known, _)| *known == word);
+        let found = Self::NAMES.iter().find(|(known, _)| *known == word);
         found.map(|(_, kind)| (*kind, name))
     }
 }
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Returns every problem of the file.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigProblem>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         let is_template = has_field(text, "stages");
         let kind = if is_template {
             ObjectKind::Template
@@ -79,11 +79,7 @@
     /// # Errors
     ///
     /// Returns every problem of the file.
-    pub fn parse_kind(
-        kind: ObjectKind,
-        file: &str,
-        text: &str,
-    ) -> Result<Self, Vec<ConfigProblem>> {
+    pub fn parse_kind(kind: ObjectKind, file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         match kind {
             ObjectKind::Template => PipelineTemplate::parse(file, text).map(ConfigObject::Template),
             ObjectKind::Account => {
@@ -94,7 +90,7 @@
     }
 
     /// Tells whether a text looks like a node's settings rather than a configuration object.
-    pub fn looks_like_settings(text: &str) -> bool {
+    pub fn is_node_settings(text: &str) -> bool {
         has_field(text, "listen") || has_field(text, "inner")
     }
 
--- a/packages/turnford-config/src/problem.rs
+++ b/packages/turnford-config/src/problem.rs
@@ -4,7 +4,7 @@
 
 /// A problem found by a check.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigProblem {
+pub struct ConfigError {
     /// File as the operator named it.
     pub file: String,
     /// Line, counted from 1.
@@ -17,7 +17,7 @@
     pub allowed: String,
 }
 
-impl fmt::Display for ConfigProblem {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             file,
@@ -33,4 +33,4 @@
     }
 }
 
-impl std::error::Error for ConfigProblem {}
+impl std::error::Error for ConfigError {}
--- a/packages/turnford-config/src/reader.rs
+++ b/packages/turnford-config/src/reader.rs
@@ -12,7 +12,7 @@
 use toml::de::DeValue;
 use toml::Spanned;
 
-use crate::ConfigProblem;
+use crate::ConfigError;
 
 /// Longest name of anything.
 const NAME_LIMIT: usize = 64;
@@ -24,7 +24,7 @@
 struct ProblemLog {
     file: String,
     text: String,
-    problems: RefCell<Vec<ConfigProblem>>,
+    problems: RefCell<Vec<ConfigError>>,
 }
 
 impl ProblemLog {
@@ -35,7 +35,7 @@
             .filter(|byte| **byte == b'\n')
             .count()
             + 1;
-        self.problems.borrow_mut().push(ConfigProblem {
+        self.problems.borrow_mut().push(ConfigError {
             file: self.file.clone(),
             line,
             field: field.to_owned(),
@@ -63,7 +63,7 @@
     file: &str,
     text: &str,
     read: impl FnOnce(&TableReader<'_>) -> Option<T>,
-) -> Result<T, Vec<ConfigProblem>> {
+) -> Result<T, Vec<ConfigError>> {
     let log = Rc::new(ProblemLog {
         file: file.to_owned(),
         text: text.to_owned(),
--- a/packages/turnford-config/src/serve.rs
+++ b/packages/turnford-config/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::reader::read_file;
 use crate::reader::TableReader;
 use crate::settings::read_log;
-use crate::ConfigProblem;
+use crate::ConfigError;
 use crate::LogLevel;
 use crate::LogSettings;
 
@@ -16,7 +16,7 @@
 
 /// Repeats of a service in a window, over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatSettings {
+pub struct RetrySettings {
     /// Length of the sliding window.
     pub window: Duration,
     /// Repeats per request of the service.
@@ -25,7 +25,7 @@
     pub slack: f64,
 }
 
-impl Default for RepeatSettings {
+impl Default for RetrySettings {
     /// A tenth of the traffic and a few more, as for the own interface.
     fn default() -> Self {
         Self {
@@ -62,14 +62,14 @@
     /// Time from the order to stop until the process is ended.
     pub stop_grace: Duration,
     /// Repeats that a service may get.
-    pub repeats: RepeatSettings,
+    pub retries: RetrySettings,
     /// Log lines.
     pub log: LogSettings,
 }
 
 impl ServeSettings {
     /// Tells whether a text is meant as such settings: only they name a store.
-    pub fn looks_like(text: &str) -> bool {
+    pub fn is_serve_settings(text: &str) -> bool {
         let mut lines = text.lines().map(str::trim_start);
         lines.any(|line| line.starts_with("store") || line.starts_with("work"))
     }
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Returns every problem of the file.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigProblem>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         read_file(file, text, read_settings)
     }
 }
@@ -96,7 +96,7 @@
     let store = reader.parsed("store", ADDRESS);
     let peers = reader.parsed_list("peers", ADDRESS);
     let stop_grace = reader.number_or("stop_grace_s", 0.0..=3600.0, 8.0);
-    let repeats = reader.table("repeats", read_repeats);
+    let retries = reader.table("repeats", read_repeats);
     let log = reader.table("log", read_log);
     Some(ServeSettings {
         name: Arc::from(name?),
@@ -110,7 +110,7 @@
         store: store?,
         peers,
         stop_grace: Duration::from_secs_f64(stop_grace),
-        repeats: repeats.unwrap_or_default(),
+        retries: retries.unwrap_or_default(),
         log: log.unwrap_or(LogSettings {
             level: LogLevel::Info,
             file: None,
@@ -118,12 +118,12 @@
     })
 }
 
-fn read_repeats(reader: &TableReader<'_>) -> Option<RepeatSettings> {
-    let default = RepeatSettings::default();
+fn read_repeats(reader: &TableReader<'_>) -> Option<RetrySettings> {
+    let default = RetrySettings::default();
     let window = reader.number_or("window_s", 0.1..=3600.0, default.window.as_secs_f64());
     let ratio = reader.number_or("ratio", 0.0..=10.0, default.ratio);
     let slack = reader.number_or("slack", 0.0..=1_000_000.0, default.slack);
-    Some(RepeatSettings {
+    Some(RetrySettings {
         window: Duration::from_secs_f64(window),
         ratio,
         slack,
--- a/packages/turnford-config/src/settings.rs
+++ b/packages/turnford-config/src/settings.rs
@@ -7,7 +7,7 @@
 
 use crate::reader::read_file;
 use crate::reader::TableReader;
-use crate::ConfigProblem;
+use crate::ConfigError;
 
 /// Traffic threads unless the settings say otherwise.
 const DEFAULT_THREADS: i64 = 2;
@@ -66,11 +66,11 @@
     /// Traffic threads.
     pub threads: usize,
     /// Most pieces of work held for one service.
-    pub hold_limit: usize,
+    pub queue_limit: usize,
     /// Most calls a second to the platform.
-    pub platform_calls: f64,
+    pub platform_call_rate: f64,
     /// Longest time that a planned stop waits for running requests.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Log lines.
     pub log: LogSettings,
 }
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Returns every problem of the file.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigProblem>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         read_file(file, text, read_settings)
     }
 }
@@ -98,8 +98,8 @@
     let peers = reader.parsed_list("peers", ADDRESS);
     let fleet_size = reader.integer_or("fleet_size", 1..=10_000, 8);
     let threads = reader.integer_or("threads", 1..=64, DEFAULT_THREADS);
-    let hold_limit = reader.integer_or("hold_limit", 1..=100_000, 512);
-    let platform_calls = reader.number_or("platform_calls_per_second", 0.1..=1000.0, 50.0);
+    let queue_limit = reader.integer_or("hold_limit", 1..=100_000, 512);
+    let platform_call_rate = reader.number_or("platform_calls_per_second", 0.1..=1000.0, 50.0);
     let drain = reader.integer_or("drain_ms", 0..=600_000, 10_000);
     let log = reader.table("log", read_log);
     Some(NodeSettings {
@@ -113,9 +113,9 @@
         peers,
         fleet_size: fleet_size as u32,
         threads: threads as usize,
-        hold_limit: hold_limit as usize,
-        platform_calls,
-        drain: Duration::from_millis(drain as u64),
+        queue_limit: queue_limit as usize,
+        platform_call_rate,
+        drain_timeout: Duration::from_millis(drain as u64),
         log: log.unwrap_or(LogSettings {
             level: LogLevel::Info,
             file: None,
--- a/packages/turnford-config/src/template.rs
+++ b/packages/turnford-config/src/template.rs
@@ -6,7 +6,7 @@
 
 use crate::reader::read_file;
 use crate::reader::TableReader;
-use crate::ConfigProblem;
+use crate::ConfigError;
 
 /// Most stages of one template.
 const STAGE_LIMIT: usize = 8;
@@ -34,7 +34,7 @@
 
 impl CallKind {
     /// Words of the template file.
-    pub const WORDS: [(&'static str, CallKind); 5] = [
+    pub const NAMES: [(&'static str, CallKind); 5] = [
         ("encode", CallKind::Encode),
         ("retrieve", CallKind::Retrieve),
         ("rerank", CallKind::Rerank),
@@ -77,12 +77,12 @@
     /// # Errors
     ///
     /// Returns every problem of the file.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigProblem>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         read_file(file, text, read_template)
     }
 
     /// Tells whether a stage must run at most once.
-    pub fn needs_claim(&self) -> bool {
+    pub fn requires_claim(&self) -> bool {
         self.stages.iter().any(|stage| !stage.repeatable)
     }
 }
@@ -113,7 +113,7 @@
 fn read_stage(reader: &TableReader<'_>) -> Option<StageSpec> {
     let name = reader.name("name");
     let service = reader.name("service");
-    let kind = reader.word("kind", &CallKind::WORDS);
+    let kind = reader.word("kind", &CallKind::NAMES);
     let repeatable = reader.flag_or("repeatable", kind != Some(CallKind::Call));
     let quantile = reader.number_or("quantile", 0.5..=0.999, DEFAULT_QUANTILE);
     let model = if reader.has("model") {
--- a/packages/turnford-config/tests/all_problems.rs
+++ b/packages/turnford-config/tests/all_problems.rs
@@ -1,6 +1,6 @@
 //! Every problem of a file is reported at once, with its place.
 
-use turnford_config::hash_key;
+use turnford_config::hash_api_key;
 use turnford_config::CallKind;
 use turnford_config::ClientAccount;
 use turnford_config::ConfigObject;
@@ -25,7 +25,7 @@
 "#;
 
 fn problems<T: std::fmt::Debug>(
-    parsed: Result<T, Vec<turnford_config::ConfigProblem>>,
+    parsed: Result<T, Vec<turnford_config::ConfigError>>,
 ) -> Vec<String> {
     let problems = parsed.expect_err("the file has problems");
     problems.iter().map(ToString::to_string).collect()
@@ -43,7 +43,7 @@
         .map(|stage| stage.repeatable)
         .collect();
     assert_eq!(
-        (repeatable, template.needs_claim()),
+        (repeatable, template.requires_claim()),
         (vec![true, false], true)
     );
 }
@@ -108,7 +108,7 @@
 
 #[test]
 fn good_account() {
-    let key = hash_key("key-one");
+    let key = hash_api_key("key-one");
     let text = format!(
         "name = \"one\"\nkey_sha256 = \"{key}\"\nclass = 1\n[templates.chat]\nmax_tokens = 9\n"
     );
--- a/packages/turnford-config/tests/serve_settings.rs
+++ b/packages/turnford-config/tests/serve_settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use turnford_config::ConfigProblem;
+use turnford_config::ConfigError;
 use turnford_config::ServeSettings;
 
 /// The template of the deployment with its gaps filled as the platform does.
@@ -38,7 +38,7 @@
 
 fn problems(text: &str) -> Vec<String> {
     let problems = ServeSettings::parse("node.toml", text).expect_err("problems");
-    problems.iter().map(ConfigProblem::to_string).collect()
+    problems.iter().map(ConfigError::to_string).collect()
 }
 
 #[test]
@@ -48,8 +48,8 @@
     assert_eq!(settings.work.port(), 7740);
     assert_eq!(settings.peers.len(), 2);
     assert_eq!(settings.stop_grace, Duration::from_secs(8));
-    assert_eq!(settings.repeats.slack, 52.0);
-    assert!(ServeSettings::looks_like(&rendered()));
+    assert_eq!(settings.retries.slack, 52.0);
+    assert!(ServeSettings::is_serve_settings(&rendered()));
 }
 
 #[test]
--- a/packages/turnford-node/src/admit.rs
+++ b/packages/turnford-node/src/admit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use turnford_config::hash_key;
+use turnford_config::hash_api_key;
 use turnford_config::CallKind;
 use turnford_config::ClientAccount;
 use turnford_config::PipelineTemplate;
@@ -158,7 +158,7 @@
 fn find_account(config: &ConfigSnapshot, call: &BufferedRequest) -> Option<Arc<ClientAccount>> {
     let header = call.header("authorization").unwrap_or("");
     let key = header.strip_prefix("Bearer ").unwrap_or("");
-    config.accounts.get(&hash_key(key)).cloned()
+    config.accounts.get(&hash_api_key(key)).cloned()
 }
 
 fn read_request_id(call: &BufferedRequest) -> Result<Option<String>, RequestEnd> {
@@ -188,10 +188,10 @@
 }
 
 fn read_input(account: &ClientAccount, body: &[u8]) -> Result<String, RequestEnd> {
-    if body.len() > account.max_input {
+    if body.len() > account.max_input_bytes {
         let message = format!(
             "the account's inputs have at most {} bytes",
-            account.max_input
+            account.max_input_bytes
         );
         return Err(RequestEnd::not_run(ResultCode::InputTooLarge, message));
     }
@@ -259,7 +259,7 @@
     drop(probes);
     let budget = match plan {
         AdmissionPlan::Admit(budget) => budget,
-        AdmissionPlan::Refuse { .. } if !state.admits => {
+        AdmissionPlan::Refuse { .. } if !state.admission_control => {
             let reserves = demands.iter().map(|demand| demand.reserve).collect();
             DeadlineBudget::new(deadline, reserves)
         }
--- a/packages/turnford-node/src/claim.rs
+++ b/packages/turnford-node/src/claim.rs
@@ -87,7 +87,7 @@
     request: &AdmittedRequest,
 ) -> Result<Option<ClaimGuard>, RequestEnd> {
     let id = request.request_id.as_deref();
-    let Some(id) = id.filter(|_| request.template.needs_claim()) else {
+    let Some(id) = id.filter(|_| request.template.requires_claim()) else {
         return Ok(None);
     };
     let key = claim_key(&request.account.name, id);
--- a/packages/turnford-node/src/node.rs
+++ b/packages/turnford-node/src/node.rs
@@ -34,14 +34,14 @@
     /// How pools behave.
     pub pool: PoolSettings,
     /// Whether admission over the whole chain is used.
-    pub admits: bool,
+    pub admission_control: bool,
 }
 
 impl Default for NodeOptions {
     fn default() -> Self {
         Self {
             pool: PoolSettings::default(),
-            admits: true,
+            admission_control: true,
         }
     }
 }
@@ -67,14 +67,21 @@
         let inner = bind_listener(settings.inner)?;
         settings.listen = address;
         settings.inner = inner.local_addr()?;
-        settings.hold_limit = settings.hold_limit.max(1);
+        settings.queue_limit = settings.queue_limit.max(1);
         let mut pool_settings = options.pool;
-        pool_settings.queue_limit = settings.hold_limit;
+        pool_settings.queue_limit = settings.queue_limit;
         let incarnation: u64 = rand::random();
         pool_settings.seed ^= incarnation;
-        let admits = options.admits;
+        let admission_control = options.admission_control;
         let (outbox, inbox) = control_channel();
-        let state = NodeState::new(settings, pool_settings, admits, clock, incarnation, outbox);
+        let state = NodeState::new(
+            settings,
+            pool_settings,
+            admission_control,
+            clock,
+            incarnation,
+            outbox,
+        );
         let state = Arc::new(state);
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let mut threads = Vec::new();
@@ -123,7 +130,7 @@
         loop {
             let running = self.state.running.load(Ordering::SeqCst);
             let waited = self.state.clock.now().saturating_sub(begun);
-            if running == 0 || waited >= self.state.settings.drain {
+            if running == 0 || waited >= self.state.settings.drain_timeout {
                 return running;
             }
             Timer::after(DRAIN_PAUSE).await;
--- a/packages/turnford-node/src/state.rs
+++ b/packages/turnford-node/src/state.rs
@@ -41,7 +41,7 @@
 pub(crate) struct NodeState {
     pub(crate) settings: NodeSettings,
     pub(crate) pool_settings: PoolSettings,
-    pub(crate) admits: bool,
+    pub(crate) admission_control: bool,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) attempts: AttemptSource,
     pub(crate) config: ArcSwap<ConfigSnapshot>,
@@ -89,16 +89,16 @@
     pub(crate) fn new(
         settings: NodeSettings,
         pool_settings: PoolSettings,
-        admits: bool,
+        admission_control: bool,
         clock: Arc<dyn Clock>,
         incarnation: u64,
         control: ControlOutbox,
     ) -> Self {
-        let budget = Arc::new(CallBudget::new(settings.platform_calls, clock.clone()));
+        let budget = Arc::new(CallBudget::new(settings.platform_call_rate, clock.clone()));
         Self {
             settings,
             pool_settings,
-            admits,
+            admission_control,
             clock,
             attempts: AttemptSource::new(incarnation),
             config: ArcSwap::default(),
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -114,7 +114,7 @@
                 .entry(spec.name.clone())
                 .or_insert_with(|| self.new_desk(spec));
             *desk.spec.borrow_mut() = spec.clone();
-            let slack = self.shared.settings.repeats.slack / view.share_count();
+            let slack = self.shared.settings.retries.slack / view.share_count();
             desk.allowance.borrow_mut().set_slack(slack);
         }
         for (service, desk) in desks.iter() {
@@ -124,7 +124,7 @@
     }
 
     fn new_desk(self: &Rc<Self>, spec: &Arc<ServiceSpec>) -> Rc<ServiceContext> {
-        let repeats = self.shared.settings.repeats;
+        let repeats = self.shared.settings.retries;
         let allowance = RetryAllowance::new(repeats.window, repeats.ratio, 0.0);
         let (traffic, service) = (Rc::downgrade(self), spec.name.clone());
         let on_change = move || {
--- a/packages/turnford-serve/tests/common/mod.rs
+++ b/packages/turnford-serve/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use turnford_config::LogLevel;
 use turnford_config::LogSettings;
-use turnford_config::RepeatSettings;
+use turnford_config::RetrySettings;
 use turnford_config::ServeSettings;
 use turnford_http::BufferedResponse;
 use turnford_http::HttpClient;
@@ -264,7 +264,7 @@
         store,
         peers,
         stop_grace: Duration::from_secs(6),
-        repeats: RepeatSettings {
+        retries: RetrySettings {
             window: Duration::from_secs(10),
             ratio: 0.2,
             slack: 40.0,
--- a/packages/turnford/examples/overhead.rs
+++ b/packages/turnford/examples/overhead.rs
@@ -46,7 +46,7 @@
         format!("[[stages]]\nname = \"{name}\"\nservice = \"{name}\"\nkind = \"encode\"\n")
     });
     let template = format!("name = \"four\"\ndeadline_ms = 10000\n{}", stages.concat());
-    let hash = turnford_config::hash_key("key");
+    let hash = turnford_config::hash_api_key("key");
     let account = format!(
         "name = \"one\"\nkey_sha256 = \"{hash}\"\nclass = 0\nrate = 1000000\n\
          concurrency = 100000\n[templates.four]\n[templates.once]\n"
--- a/packages/turnford/src/cli.rs
+++ b/packages/turnford/src/cli.rs
@@ -311,7 +311,7 @@
         let subject = match self.values.as_slice() {
             [kind, name] => {
                 let word = kind.to_string_lossy().into_owned();
-                let kind = ObjectKind::WORDS.iter().find(|(known, _)| *known == word);
+                let kind = ObjectKind::NAMES.iter().find(|(known, _)| *known == word);
                 if kind.is_none() {
                     let text = format!("unknown kind {word:?}; allowed: template, account");
                     self.problems.push(text);
--- a/packages/turnford/src/command/node.rs
+++ b/packages/turnford/src/command/node.rs
@@ -71,8 +71,11 @@
         pool.queues_work = false;
         pool.health = None;
     }
-    let admits = admits && policy == RoutingPolicy::Estimated;
-    NodeOptions { pool, admits }
+    let admission_control = admits && policy == RoutingPolicy::Estimated;
+    NodeOptions {
+        pool,
+        admission_control,
+    }
 }
 
 /// Returns a flag that the signals of a planned stop set.
--- a/packages/turnford/src/command/object.rs
+++ b/packages/turnford/src/command/object.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::path::PathBuf;
 
+use turnford_config::ConfigError;
 use turnford_config::ConfigObject;
-use turnford_config::ConfigProblem;
 use turnford_config::NodeSettings;
 use turnford_config::ServeSettings;
 
@@ -141,12 +141,12 @@
 }
 
 /// Checks a file as what it looks like, and returns its kind.
-fn check_any(path: &Path, text: &str) -> Result<&'static str, Vec<ConfigProblem>> {
+fn check_any(path: &Path, text: &str) -> Result<&'static str, Vec<ConfigError>> {
     let file = path.display().to_string();
-    if ServeSettings::looks_like(text) {
+    if ServeSettings::is_serve_settings(text) {
         return ServeSettings::parse(&file, text).map(|_| "settings of a node that serves routes");
     }
-    if ConfigObject::looks_like_settings(text) {
+    if ConfigObject::is_node_settings(text) {
         return NodeSettings::parse(&file, text).map(|_| "settings");
     }
     match ConfigObject::parse(&file, text)? {
@@ -167,7 +167,7 @@
     }
 }
 
-fn print_problems(problems: &[ConfigProblem]) {
+fn print_problems(problems: &[ConfigError]) {
     for problem in problems {
         eprintln!("{problem}");
     }
--- a/packages/turnford/src/command/routes.rs
+++ b/packages/turnford/src/command/routes.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use turnford_config::LogLevel;
 use turnford_config::LogSettings;
-use turnford_config::RepeatSettings;
+use turnford_config::RetrySettings;
 use turnford_config::ServeSettings;
 use turnford_http::HttpClient;
 use turnford_serve::ServeNode;
@@ -116,7 +116,7 @@
         store,
         peers: Vec::new(),
         stop_grace: STOP_GRACE,
-        repeats: RepeatSettings::default(),
+        retries: RetrySettings::default(),
         log: LogSettings {
             level: LogLevel::Info,
             file: None,
--- a/packages/turnford/src/site.rs
+++ b/packages/turnford/src/site.rs
@@ -157,9 +157,9 @@
         peers: Vec::new(),
         fleet_size: node_count as u32,
         threads: 2,
-        hold_limit: 512,
-        platform_calls: 50.0,
-        drain: Duration::from_secs(10),
+        queue_limit: 512,
+        platform_call_rate: 50.0,
+        drain_timeout: Duration::from_secs(10),
         log: LogSettings {
             level: LogLevel::Warn,
             file: None,
--- a/packages/turnford/tests/common/mod.rs
+++ b/packages/turnford/tests/common/mod.rs
@@ -94,7 +94,7 @@
 
 /// Returns an account's file; its key is `key-` and the name.
 pub fn account_text(name: &str, rate: f64) -> String {
-    let hash = turnford_config::hash_key(&format!("key-{name}"));
+    let hash = turnford_config::hash_api_key(&format!("key-{name}"));
     format!(
         "name = \"{name}\"\nkey_sha256 = \"{hash}\"\nclass = 1\nrate = {rate}\n\
          concurrency = 500\nmax_input_bytes = 2000\n[templates.chat]\nmax_tokens = 4\n\
