--- a/packages/turnford-policy/src/clock.rs
+++ b/packages/turnford-policy/src/clock.rs
@@ -16,8 +16,8 @@
     fn now(&self) -> Moment;
 }
 
-/// The machine's clock that never goes back and goes on while the machine is suspended, counted from
-/// the clock's creation.
+/// The machine's clock that never goes back and goes on while the machine is suspended, counted
+/// from the clock's creation.
 pub struct SystemClock {
     start: Moment,
 }
@@ -81,7 +81,8 @@
 /// Shortest sleep that counts: above what lies between reading two clocks on a busy machine.
 const SHORTEST_SLEEP: Duration = Duration::from_millis(200);
 
-/// Finds out that the machine was suspended, from a clock that counts that time and one that doesn't.
+/// Finds out that the machine was suspended, from a clock that counts that time and one that
+/// doesn't.
 #[derive(Debug)]
 pub struct SuspendDetector {
     /// What the one was before the other at the last look.
--- a/packages/turnford-policy/src/queue.rs
+++ b/packages/turnford-policy/src/queue.rs
@@ -1,4 +1,5 @@
-//! Work that waits for a target: by class, then fairly between accounts, then by least slack.
+//! Queue of work that waits for a target, ordered by class, then fairly between accounts, then by
+//! least slack.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,211 +12,222 @@
 use crate::QueueTicket;
 use crate::StageWork;
 
-/// One held piece of work.
+/// A work item in the queue.
 #[derive(Clone, Debug)]
 pub struct QueuedWork {
-    /// Its number in the pool.
+    /// Number of the item, unique in its pool.
     pub ticket: QueueTicket,
-    /// The work itself.
+    /// The work to run.
     pub work: StageWork,
-    /// When it was held.
+    /// Time at which the item was queued.
     pub queued_at: Moment,
 }
 
-/// Work of one account inside a class, least slack first.
+/// Queued work of one account in a class, least slack first.
 #[derive(Debug, Default)]
-struct AccountLine {
+struct AccountQueue {
     by_slack: BTreeSet<(Moment, QueueTicket)>,
 }
 
-/// Lines of one class and what each account was served.
+/// Queued work of one class, shared between its accounts by start-time fair queueing.
 #[derive(Debug, Default)]
-struct ClassLines {
-    lines: HashMap<AccountId, AccountLine>,
-    served: HashMap<AccountId, Duration>,
-    floor: Duration,
-    held_time: Duration,
+struct ClassQueue {
+    accounts: HashMap<AccountId, AccountQueue>,
+    /// Expected time of the work served to each account, divided by the account's share.
+    served_time: HashMap<AccountId, Duration>,
+    /// Served time that an account starts from when it queues work again.
+    served_floor: Duration,
+    /// Expected time of all queued work of the class.
+    queued_time: Duration,
 }
 
-/// A bounded queue of held work.
+/// Bounded priority queue of work items.
 #[derive(Debug)]
 pub struct WorkQueue {
     limit: usize,
-    held: HashMap<QueueTicket, QueuedWork>,
-    classes: BTreeMap<ClassRank, ClassLines>,
+    entries: HashMap<QueueTicket, QueuedWork>,
+    classes: BTreeMap<ClassRank, ClassQueue>,
     next_ticket: QueueTicket,
 }
 
 impl WorkQueue {
-    /// Makes an empty queue that holds at most `limit` pieces of work.
+    /// Creates an empty queue of at most `limit` work items.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
-            held: HashMap::new(),
+            entries: HashMap::new(),
             classes: BTreeMap::new(),
             next_ticket: 1,
         }
     }
 
-    /// Returns the number of pieces held.
+    /// Returns the number of queued items.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.entries.len()
     }
 
-    /// Tells whether nothing is held.
+    /// Returns true if no work is queued.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Returns the expected time of all held work that goes before or beside a class.
+    /// Returns the expected time of all queued work of a class and of higher classes.
     pub fn queued_time(&self, class: ClassRank) -> Duration {
-        let before = self.classes.range(..=class);
-        before.map(|(_, lines)| lines.held_time).sum()
+        let classes = self.classes.range(..=class);
+        classes.map(|(_, queue)| queue.queued_time).sum()
     }
 
-    /// Holds a piece of work; `None` if the queue is full of work of the same or a higher class.
+    /// Queues a work item. Returns `None` if the queue is full and has no work of a lower class.
+    ///
+    /// An item accepted by a full queue exceeds the limit until [`WorkQueue::pop_excess`] is
+    /// called.
     pub fn push(&mut self, now: Moment, work: StageWork) -> Option<QueueTicket> {
-        if self.held.len() >= self.limit && !self.has_lower(work.class) {
+        if self.entries.len() >= self.limit && !self.has_lower(work.class) {
             return None;
         }
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let lines = self.classes.entry(work.class).or_default();
-        lines.add(ticket, &work);
-        let since = now;
-        let held = QueuedWork {
+        let queue = self.classes.entry(work.class).or_default();
+        queue.add(ticket, &work);
+        let queued_at = now;
+        let queued = QueuedWork {
             ticket,
             work,
-            queued_at: since,
+            queued_at,
         };
-        self.held.insert(ticket, held);
+        self.entries.insert(ticket, queued);
         Some(ticket)
     }
 
-    /// Takes out what the queue holds over its bound, lowest class and most slack first.
+    /// Removes an item while the queue exceeds its limit, lowest class and most slack first.
     pub fn pop_excess(&mut self) -> Option<QueuedWork> {
-        if self.held.len() <= self.limit {
+        if self.entries.len() <= self.limit {
             return None;
         }
-        // A class can be empty and still remember what its accounts were served.
+        // Classes without queued work remain in the map for the served time of their accounts.
         let mut classes = self.classes.values().rev();
-        let ticket = classes.find_map(ClassLines::last_ticket)?;
+        let ticket = classes.find_map(ClassQueue::last_ticket)?;
         self.remove(ticket)
     }
 
-    /// Returns the piece that goes next without taking it.
+    /// Returns the next item without removing it.
     pub fn first(&self) -> Option<&QueuedWork> {
-        let tickets = self.classes.values().find_map(ClassLines::first_ticket);
-        tickets.and_then(|ticket| self.held.get(&ticket))
+        let tickets = self.classes.values().find_map(ClassQueue::first_ticket);
+        tickets.and_then(|ticket| self.entries.get(&ticket))
     }
 
-    /// Returns up to `count` pieces in the order in which they would go, by class and slack.
+    /// Returns up to `count` tickets by class and slack, with at most four of each account in a
+    /// class.
     pub fn candidates(&self, count: usize) -> Vec<QueueTicket> {
         let classes = self.classes.values();
-        classes.flat_map(ClassLines::heads).take(count).collect()
+        classes
+            .flat_map(ClassQueue::candidates)
+            .take(count)
+            .collect()
     }
 
-    /// Returns a held piece.
+    /// Returns a queued item.
     pub fn get(&self, ticket: QueueTicket) -> Option<&QueuedWork> {
-        self.held.get(&ticket)
+        self.entries.get(&ticket)
     }
 
-    /// Takes a piece out and counts it as served to its account.
+    /// Removes an item and counts it as served to its account.
     pub fn serve(&mut self, ticket: QueueTicket) -> Option<QueuedWork> {
-        let held = self.remove(ticket)?;
-        if let Some(lines) = self.classes.get_mut(&held.work.class) {
-            lines.note_served(&held.work);
+        let queued = self.remove(ticket)?;
+        if let Some(queue) = self.classes.get_mut(&queued.work.class) {
+            queue.record_served(&queued.work);
         }
-        self.trim();
-        Some(held)
+        self.clear_if_empty();
+        Some(queued)
     }
 
-    /// Takes a piece out without serving it.
+    /// Removes an item without counting it as served.
     pub fn remove(&mut self, ticket: QueueTicket) -> Option<QueuedWork> {
-        let held = self.held.remove(&ticket)?;
-        if let Some(lines) = self.classes.get_mut(&held.work.class) {
-            lines.take(ticket, &held.work);
+        let queued = self.entries.remove(&ticket)?;
+        if let Some(queue) = self.classes.get_mut(&queued.work.class) {
+            queue.remove(ticket, &queued.work);
         }
-        Some(held)
+        Some(queued)
     }
 
-    /// Returns the tickets of work that can no longer finish in time.
+    /// Returns the tickets of work that can no longer finish in time, in ascending order.
     pub fn infeasible(&self, now: Moment) -> Vec<QueueTicket> {
-        let late = self
-            .held
+        let infeasible = self
+            .entries
             .values()
-            .filter(|held| now > held.work.infeasible_after);
-        let mut tickets: Vec<QueueTicket> = late.map(|held| held.ticket).collect();
+            .filter(|queued| now > queued.work.infeasible_after);
+        let mut tickets: Vec<QueueTicket> = infeasible.map(|queued| queued.ticket).collect();
         tickets.sort_unstable();
         tickets
     }
 
     fn has_lower(&self, class: ClassRank) -> bool {
         let lower = self.classes.range(class.saturating_add(1)..);
-        lower.into_iter().any(|(_, lines)| !lines.lines.is_empty())
+        lower
+            .into_iter()
+            .any(|(_, queue)| !queue.accounts.is_empty())
     }
 
-    /// Forgets what accounts were served once nothing is held, which bounds the maps.
-    fn trim(&mut self) {
-        if self.held.is_empty() {
+    /// Drops the served time of all accounts once no work is queued, which bounds the maps.
+    fn clear_if_empty(&mut self) {
+        if self.entries.is_empty() {
             self.classes.clear();
         }
     }
 }
 
-impl ClassLines {
+impl ClassQueue {
     fn add(&mut self, ticket: QueueTicket, work: &StageWork) {
-        let floor = self.floor;
-        let served = self.served.entry(work.account.clone()).or_default();
-        // An account that was away does not return with a claim on the past.
-        *served = (*served).max(floor);
-        let line = self.lines.entry(work.account.clone()).or_default();
-        line.by_slack.insert((work.latest_start, ticket));
-        self.held_time += work.expected_time;
-    }
-
-    fn take(&mut self, ticket: QueueTicket, work: &StageWork) {
-        self.held_time = self.held_time.saturating_sub(work.expected_time);
-        let Some(line) = self.lines.get_mut(&work.account) else {
+        let served_floor = self.served_floor;
+        let served_time = self.served_time.entry(work.account.clone()).or_default();
+        // An account gains no credit for the time in which it had no work queued.
+        *served_time = (*served_time).max(served_floor);
+        let account = self.accounts.entry(work.account.clone()).or_default();
+        account.by_slack.insert((work.latest_start, ticket));
+        self.queued_time += work.expected_time;
+    }
+
+    fn remove(&mut self, ticket: QueueTicket, work: &StageWork) {
+        self.queued_time = self.queued_time.saturating_sub(work.expected_time);
+        let Some(account) = self.accounts.get_mut(&work.account) else {
             return;
         };
-        line.by_slack.remove(&(work.latest_start, ticket));
-        if line.by_slack.is_empty() {
-            self.lines.remove(&work.account);
+        account.by_slack.remove(&(work.latest_start, ticket));
+        if account.by_slack.is_empty() {
+            self.accounts.remove(&work.account);
         }
     }
 
-    fn note_served(&mut self, work: &StageWork) {
-        let served = self.served.entry(work.account.clone()).or_default();
-        self.floor = self.floor.max(*served);
-        *served += work.expected_time.div_f64(work.share.max(0.01));
+    fn record_served(&mut self, work: &StageWork) {
+        let served_time = self.served_time.entry(work.account.clone()).or_default();
+        self.served_floor = self.served_floor.max(*served_time);
+        *served_time += work.expected_time.div_f64(work.share.max(0.01));
     }
 
     fn first_ticket(&self) -> Option<QueueTicket> {
-        let lines = self.lines.iter();
-        let least = lines.min_by_key(|(account, line)| {
-            let served = self.served.get(*account).copied().unwrap_or_default();
-            (served, line.by_slack.first().copied())
+        let accounts = self.accounts.iter();
+        let next = accounts.min_by_key(|(id, account)| {
+            let served_time = self.served_time.get(*id).copied().unwrap_or_default();
+            (served_time, account.by_slack.first().copied())
         });
-        least
-            .and_then(|(_, line)| line.by_slack.first())
+        next.and_then(|(_, account)| account.by_slack.first())
             .map(|(_, ticket)| *ticket)
     }
 
     fn last_ticket(&self) -> Option<QueueTicket> {
-        let lines = self.lines.values();
-        lines
-            .filter_map(|line| line.by_slack.last())
+        let accounts = self.accounts.values();
+        accounts
+            .filter_map(|account| account.by_slack.last())
             .max()
             .map(|(_, ticket)| *ticket)
     }
 
-    fn heads(&self) -> Vec<QueueTicket> {
-        let lines = self.lines.values();
-        let mut heads: Vec<_> = lines
-            .flat_map(|line| line.by_slack.iter().take(4))
+    fn candidates(&self) -> Vec<QueueTicket> {
+        let accounts = self.accounts.values();
+        let mut candidates: Vec<_> = accounts
+            .flat_map(|account| account.by_slack.iter().take(4))
             .collect();
-        heads.sort_unstable();
-        heads.into_iter().map(|(_, ticket)| *ticket).collect()
+        candidates.sort_unstable();
+        candidates.into_iter().map(|(_, ticket)| *ticket).collect()
     }
 }
--- a/packages/turnford-policy/src/routing.rs
+++ b/packages/turnford-policy/src/routing.rs
@@ -1,4 +1,4 @@
-//! The choice of a target, and the simple policies it is measured against.
+//! Target selection by estimated finish time, and the baseline policies it is compared with.
 
 use std::time::Duration;
 
@@ -10,48 +10,49 @@
 use crate::StageWork;
 use crate::TargetView;
 
-/// Candidates looked at for one decision.
+/// Maximum number of candidates sampled for one decision.
 const SAMPLE_COUNT: usize = 16;
 
-/// Part of the time that a held prefix saves; learned values replace it once engines report it.
+/// Fraction of the run time that a cached prefix is assumed to save. Engines don't report the
+/// actual saving yet.
 const PREFIX_SAVING: f64 = 0.3;
 
-/// Calls let through at a target for each slot, when other nodes use it, too.
+/// Calls admitted per slot of a target that other nodes use as well.
 const OVERCOMMIT: f64 = 1.2;
 
-/// Margin of time that an account with all weight on cost wants, as a factor on the finish time.
-const LEAST_MARGIN: f64 = 1.3;
+/// Safety factor on the finish time for an account that weighs only cost.
+const MIN_MARGIN: f64 = 1.3;
 
-/// Added to the margin for an account with all weight on attainment.
-const MARGIN_SPAN: f64 = 1.2;
+/// Increase of the safety factor for an account that weighs only attainment.
+const MARGIN_RANGE: f64 = 1.2;
 
-/// Weight of the price among targets that leave the margin.
+/// Weight of the price among targets that finish within the safety margin.
 const PRICE_WEIGHT: f64 = 0.5;
 
-/// Weight of the time among targets that leave the margin.
+/// Weight of the time among targets that finish within the safety margin.
 const TIME_WEIGHT: f64 = 0.02;
 
-/// Added to the score of a candidate that is not expected to finish in time.
+/// Score penalty of a candidate that is not expected to finish in time.
 const LATE_PENALTY: f64 = 10.0;
 
-/// Smallest probability of success assumed, so that a failing target's estimate stays finite.
-const SMALLEST_SUCCESS: f64 = 0.05;
+/// Lower bound of the success probability, which keeps the estimate of a failing target finite.
+const MIN_SUCCESS_RATE: f64 = 0.05;
 
-/// How a pool chooses its targets.
+/// Policy by which a pool selects targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingPolicy {
-    /// Estimated time to finish, with cost by the account's weight.
+    /// Estimated finish time and cost, weighted by account.
     Estimated,
-    /// Any target (baseline).
+    /// A random target (baseline).
     Random,
-    /// One after another (baseline).
+    /// Each target in turn (baseline).
     RoundRobin,
-    /// The fewest calls in flight from this node (baseline).
+    /// The target with the fewest calls in flight from this node (baseline).
     LeastInFlight,
 }
 
 impl RoutingPolicy {
-    /// Every policy, with the name that the command line takes.
+    /// All policies with their names on the command line.
     pub const ALL: [(&'static str, RoutingPolicy); 4] = [
         ("estimated", RoutingPolicy::Estimated),
         ("random", RoutingPolicy::Random),
@@ -60,39 +61,44 @@
     ];
 }
 
-/// What a choice looks at beside the targets.
+/// Input of a routing decision besides the target views.
 pub(crate) struct RoutingInput<'a> {
     pub(crate) now: Moment,
     pub(crate) work: &'a StageWork,
     pub(crate) estimates: &'a StageEstimates,
-    /// Part of a target's slots that this node may fill whatever others are thought to have there.
+    /// Fraction of a target's slots, 0 to 1, that this node may fill regardless of the load that
+    /// other nodes are believed to have there.
     pub(crate) node_share: f64,
 }
 
 impl RoutingInput<'_> {
-    /// Tells whether a target may take the work at all.
+    /// Returns true if a target is eligible for the work, regardless of free slots.
     pub(crate) fn is_usable(&self, view: &TargetView) -> bool {
         !view.leaving
             && view.has_model(self.work.model.as_ref())
             && !self.work.tried.contains(&view.facts.id)
     }
 
-    /// Tells whether a target has a slot for the work.
+    /// Returns true if a target has a free slot for the work.
     ///
-    /// A few calls beyond the slots are let through: what other nodes have there is known late, and
-    /// a short queue at the target costs less than a slot that stays empty meanwhile.
+    /// Shared targets are slightly overcommitted: the load of other nodes is known with a delay,
+    /// and a short queue at the target costs less than an idle slot.
     pub(crate) fn has_slot(&self, view: &TargetView) -> bool {
         if !view.health.admits(view.own_inflight()) {
             return false;
         }
         let slots = f64::from(view.facts.slots);
         let floor = (slots * self.node_share).floor();
-        let alone = self.node_share >= 1.0;
-        let room = if alone { slots } else { slots * OVERCOMMIT };
-        f64::from(view.own_inflight()) < floor || view.inflight(self.now) + 1.0 <= room
+        let is_only_node = self.node_share >= 1.0;
+        let capacity = if is_only_node {
+            slots
+        } else {
+            slots * OVERCOMMIT
+        };
+        f64::from(view.own_inflight()) < floor || view.inflight(self.now) + 1.0 <= capacity
     }
 
-    /// Returns the expected time of the work itself on a target.
+    /// Returns the expected run time of the work on a target, without queueing and network delay.
     pub(crate) fn run_time(&self, view: &TargetView) -> Duration {
         let mean = self
             .estimates
@@ -101,25 +107,26 @@
             Some(prefix) if view.has_prefix(prefix) => 1.0 - PREFIX_SAVING,
             _ => 1.0,
         };
-        let success = (1.0 - view.health.failure_rate()).max(SMALLEST_SUCCESS);
+        let success = (1.0 - view.health.failure_rate()).max(MIN_SUCCESS_RATE);
         mean.mul_f64(saving * view.health.slowness().max(0.2) / success)
     }
 
-    /// Returns the expected time until the answer is back, for a time of the work itself.
+    /// Returns the expected time until the response is back, from the run time of the work.
     fn finish_time(&self, view: &TargetView, run: Duration) -> Duration {
         let slots = f64::from(view.facts.slots.max(1));
         let inflight = view.inflight(self.now);
-        let over = (inflight + 1.0 - slots).max(0.0);
-        // A busy engine batches, so each call beside this one costs a little even below the slots.
+        let overload = (inflight + 1.0 - slots).max(0.0);
+        // Engines batch concurrent calls, so each of them slows the others even below the slot
+        // limit.
         let crowding = 1.0 + 0.25 * (inflight / slots).min(1.0);
-        run.mul_f64(crowding + over / slots) + view.facts.one_way_delay * 2
+        run.mul_f64(crowding + overload / slots) + view.facts.one_way_delay * 2
     }
 
-    /// Returns a score; the smallest wins.
+    /// Returns the score of a target; the lowest score wins.
     ///
-    /// An answer in good time is worth no more for coming earlier, so among targets that leave a
-    /// margin the cheaper one wins; without the margin, time does.
-    fn score(&self, view: &TargetView, run: Duration, top_price: f64) -> f64 {
+    /// A response within the deadline is worth no more for arriving earlier. Among targets that
+    /// finish within the safety margin the cheapest one wins; beyond it the fastest one does.
+    fn score(&self, view: &TargetView, run: Duration, max_price: f64) -> f64 {
         let finish = self.finish_time(view, run).as_secs_f64();
         let left = self
             .work
@@ -128,12 +135,12 @@
             .as_secs_f64()
             .max(0.001);
         let weight = self.work.cost_weight.clamp(0.0, 1.0);
-        let margin = LEAST_MARGIN + MARGIN_SPAN * (1.0 - weight);
+        let margin = MIN_MARGIN + MARGIN_RANGE * (1.0 - weight);
         let share = finish / left;
         let risk = (share * margin - 1.0).max(0.0);
-        let late = if share > 1.0 { LATE_PENALTY } else { 0.0 };
-        let price = price_of(view, run) / top_price.max(1e-9);
-        risk + late + PRICE_WEIGHT * price + TIME_WEIGHT * share
+        let penalty = if share > 1.0 { LATE_PENALTY } else { 0.0 };
+        let price = price_of(view, run) / max_price.max(1e-9);
+        risk + penalty + PRICE_WEIGHT * price + TIME_WEIGHT * share
     }
 }
 
@@ -141,8 +148,8 @@
     view.facts.cost * run.as_secs_f64()
 }
 
-/// Chooses among candidates by their place in `views`. `holder` is the place of a target that is
-/// thought to hold the work's prefix.
+/// Selects the candidate with the lowest score and returns its index in `views`. `holder` is the
+/// index of the target that is believed to cache the work's prefix.
 pub(crate) fn choose_estimated(
     input: &RoutingInput<'_>,
     views: &[TargetView],
@@ -152,21 +159,23 @@
     let candidates = sample_candidates(input, views, holder, rng);
     let timed: Vec<(usize, Duration)> = candidates
         .into_iter()
-        .map(|at| (at, input.run_time(&views[at])))
+        .map(|index| (index, input.run_time(&views[index])))
         .collect();
-    let prices = timed.iter().map(|(at, run)| price_of(&views[*at], *run));
-    let top_price = prices.fold(0.0, f64::max);
+    let prices = timed
+        .iter()
+        .map(|(index, run)| price_of(&views[*index], *run));
+    let max_price = prices.fold(0.0, f64::max);
     let scored = timed
         .into_iter()
-        .map(|(at, run)| (input.score(&views[at], run, top_price), at));
+        .map(|(index, run)| (input.score(&views[index], run, max_price), index));
     let best = scored.min_by(|left, right| left.0.total_cmp(&right.0));
-    best.map(|(_, at)| at)
+    best.map(|(_, index)| index)
 }
 
-/// Picks a few targets with a slot, from a random place on.
+/// Samples some targets with a free slot in a random order.
 ///
-/// Nodes that see the same stale report start at different places, so they do not all go to the
-/// one target that looks idle. Of a small pool at most three quarters are looked at.
+/// Nodes that see the same stale report sample different targets, so they do not all select the one
+/// that looks idle. At most three quarters of a small pool are sampled.
 fn sample_candidates(
     input: &RoutingInput<'_>,
     views: &[TargetView],
@@ -179,21 +188,22 @@
     }
     let wanted = (views.len() * 3).div_ceil(4).min(SAMPLE_COUNT);
     let start = rng.random_range(0..views.len());
-    // A step that shares no factor with the length visits every place once, in a mixed order.
+    // A step coprime to the length visits every index once, in a shuffled order.
     let step = coprime_step(views.len(), rng);
-    let mut at = start;
+    let mut index = start;
     for _ in 0..views.len() {
-        let view = &views[at];
+        let view = &views[index];
         if input.is_usable(view) && input.has_slot(view) {
-            candidates.push(at);
+            candidates.push(index);
             if candidates.len() >= wanted {
                 break;
             }
         }
-        at = (at + step) % views.len();
+        index = (index + step) % views.len();
     }
-    let usable = holder.filter(|at| input.is_usable(&views[*at]) && input.has_slot(&views[*at]));
-    candidates.extend(usable.filter(|at| !candidates.contains(at)));
+    let usable =
+        holder.filter(|index| input.is_usable(&views[*index]) && input.has_slot(&views[*index]));
+    candidates.extend(usable.filter(|index| !candidates.contains(index)));
     candidates
 }
 
@@ -206,16 +216,16 @@
     step
 }
 
-/// Chooses as a baseline does: any live target, whether it has a slot or not.
+/// Selects a target by a baseline policy, which ignores free slots and health.
 pub(crate) fn choose_baseline(
     policy: RoutingPolicy,
     input: &RoutingInput<'_>,
     views: &[TargetView],
-    turn: &mut usize,
+    round_robin_index: &mut usize,
     rng: &mut SmallRng,
 ) -> Option<usize> {
     let usable: Vec<usize> = (0..views.len())
-        .filter(|at| input.is_usable(&views[*at]))
+        .filter(|index| input.is_usable(&views[*index]))
         .collect();
     if usable.is_empty() {
         return None;
@@ -224,10 +234,10 @@
         RoutingPolicy::Random => Some(usable[rng.random_range(0..usable.len())]),
         RoutingPolicy::LeastInFlight => usable
             .into_iter()
-            .min_by_key(|at| views[*at].own_inflight()),
+            .min_by_key(|index| views[*index].own_inflight()),
         RoutingPolicy::RoundRobin | RoutingPolicy::Estimated => {
-            *turn = turn.wrapping_add(1);
-            Some(usable[*turn % usable.len()])
+            *round_robin_index = round_robin_index.wrapping_add(1);
+            Some(usable[*round_robin_index % usable.len()])
         }
     }
 }
--- a/packages/turnford-policy/src/view_table.rs
+++ b/packages/turnford-policy/src/view_table.rs
@@ -1,4 +1,4 @@
-//! The targets of one service as one node of the own interface sees them, and which of them are out.
+//! The targets of one service as seen by one node of the own interface, and their ejection.
 
 use std::collections::HashMap;
 
@@ -8,41 +8,45 @@
 use crate::TargetId;
 use crate::TargetView;
 
-/// The views of one service's targets.
+/// The target views of one service, sorted by target name.
 #[derive(Debug, Default)]
 pub(crate) struct ViewTable {
     views: Vec<TargetView>,
     index: HashMap<TargetId, usize>,
-    /// Targets that may be out; without any, no look at all of them is needed.
+    /// Upper bound of the number of ejected targets; at zero, expired ejections need no scan.
     ejections: usize,
 }
 
 impl ViewTable {
-    /// Returns the views in the order of their targets' names.
-    pub(crate) fn all(&self) -> &[TargetView] {
+    /// Returns the views, sorted by target name.
+    pub(crate) fn as_slice(&self) -> &[TargetView] {
         &self.views
     }
 
-    /// Returns the view at a place.
-    pub(crate) fn at_mut(&mut self, place: usize) -> &mut TargetView {
-        &mut self.views[place]
+    /// Returns the view at an index.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the index is out of bounds.
+    pub(crate) fn view_mut(&mut self, index: usize) -> &mut TargetView {
+        &mut self.views[index]
     }
 
-    /// Returns a target's place.
-    pub(crate) fn place_of(&self, target: &str) -> Option<usize> {
+    /// Returns the index of a target's view.
+    pub(crate) fn position(&self, target: &str) -> Option<usize> {
         self.index.get(target).copied()
     }
 
-    /// Takes the targets of a VM list. Views of targets that stay keep what was learned.
+    /// Replaces the targets by those of a VM list. Targets that remain keep their measurements.
     pub(crate) fn apply_list(&mut self, list: Vec<TargetFacts>) {
-        let mut old: HashMap<TargetId, TargetView> = HashMap::new();
+        let mut previous: HashMap<TargetId, TargetView> = HashMap::new();
         for view in self.views.drain(..) {
-            old.insert(view.facts.id.clone(), view);
+            previous.insert(view.facts.id.clone(), view);
         }
         for facts in list {
-            let view = match old.remove(&facts.id) {
+            let view = match previous.remove(&facts.id) {
                 Some(mut view) => {
-                    // The target's own report of its models is newer than the list's.
+                    // Models reported by the target itself are more recent than those of the list.
                     let models = std::mem::take(&mut view.facts.models);
                     view.facts = TargetFacts { models, ..facts };
                     view
@@ -51,8 +55,10 @@
             };
             self.views.push(view);
         }
-        // A target that is gone from the list but still runs calls of this node stays as leaving.
-        let running = old.into_values().filter(|view| view.own_inflight() > 0);
+        // A target that is no longer listed but still runs calls of this node remains as leaving.
+        let running = previous
+            .into_values()
+            .filter(|view| view.own_inflight() > 0);
         self.views.extend(running.map(|mut view| {
             view.leaving = true;
             view.listed_leaving = true;
@@ -60,17 +66,17 @@
         }));
         self.views
             .sort_by(|left, right| left.facts.id.cmp(&right.facts.id));
-        self.reindex();
+        self.rebuild_index();
     }
 
     /// Returns a target's view.
     pub(crate) fn get_mut(&mut self, target: &str) -> Option<&mut TargetView> {
-        let at = self.index.get(target).copied()?;
-        self.views.get_mut(at)
+        let index = self.index.get(target).copied()?;
+        self.views.get_mut(index)
     }
 
-    /// Lets targets back in whose time out is over.
-    pub(crate) fn refresh_health(&mut self, now: Moment) {
+    /// Ends expired ejections.
+    pub(crate) fn expire_ejections(&mut self, now: Moment) {
         if self.ejections == 0 {
             return;
         }
@@ -84,32 +90,37 @@
             .count();
     }
 
-    /// Takes a target out if it is bad next to its peers and the pool can spare it.
-    pub(crate) fn judge(&mut self, now: Moment, at: usize, settings: &HealthSettings) {
-        let health = &self.views[at].health;
+    /// Ejects a target if it is an outlier among its peers and the ejection limit allows it.
+    pub(crate) fn eject_if_outlier(
+        &mut self,
+        now: Moment,
+        index: usize,
+        settings: &HealthSettings,
+    ) {
+        let health = &self.views[index].health;
         if health.is_ejected() || !health.may_be_outlier(settings) {
             return;
         }
-        let (failure, slowness) = self.peer_medians(at);
-        let bad = self.views[at]
+        let (failure_rate, slowness) = self.peer_medians(index);
+        let is_outlier = self.views[index]
             .health
-            .is_outlier(settings, failure, slowness);
-        let bad = bad || self.views[at].health.fails_probation(settings);
-        if bad && self.can_spare(settings) {
-            self.views[at].health.eject(now, settings);
+            .is_outlier(settings, failure_rate, slowness);
+        let is_outlier = is_outlier || self.views[index].health.fails_probation(settings);
+        if is_outlier && self.may_eject(settings) {
+            self.views[index].health.eject(now, settings);
             self.ejections += 1;
         }
     }
 
-    /// Returns the median failure and slowness of the other targets of the same hardware class, or
-    /// of all others if the class has no other.
-    fn peer_medians(&self, at: usize) -> (f64, f64) {
-        let hardware = &self.views[at].facts.hardware;
+    /// Returns the median failure rate and slowness of the other targets of the same hardware
+    /// class, or of all other targets if the class has no other.
+    fn peer_medians(&self, index: usize) -> (f64, f64) {
+        let hardware = &self.views[index].facts.hardware;
         let others = || {
             self.views
                 .iter()
                 .enumerate()
-                .filter(|(place, _)| *place != at)
+                .filter(|(other, _)| *other != index)
         };
         let same: Vec<&TargetView> = others()
             .filter(|(_, view)| view.facts.hardware == *hardware)
@@ -120,15 +131,15 @@
         } else {
             same
         };
-        let failures = peers
+        let failure_rates = peers
             .iter()
             .map(|view| view.health.failure_rate())
             .collect();
-        let slownesses = peers.iter().map(|view| view.health.slowness()).collect();
-        (median(failures, 0.0), median(slownesses, 1.0))
+        let slowness_values = peers.iter().map(|view| view.health.slowness()).collect();
+        (median(failure_rates, 0.0), median(slowness_values, 1.0))
     }
 
-    fn can_spare(&self, settings: &HealthSettings) -> bool {
+    fn may_eject(&self, settings: &HealthSettings) -> bool {
         let live = self.views.iter().filter(|view| !view.leaving).count();
         let ejected = self
             .views
@@ -140,10 +151,10 @@
         ejected < allowed
     }
 
-    fn reindex(&mut self) {
-        let places = self.views.iter().enumerate();
-        self.index = places
-            .map(|(at, view)| (view.facts.id.clone(), at))
+    fn rebuild_index(&mut self) {
+        let entries = self.views.iter().enumerate();
+        self.index = entries
+            .map(|(index, view)| (view.facts.id.clone(), index))
             .collect();
     }
 }
