--- a/packages/turnford-policy/examples/sweep.rs
+++ b/packages/turnford-policy/examples/sweep.rs
@@ -1,8 +1,8 @@
-//! Sweeps the policies over loads and faults in virtual time.
+//! Simulates the routing policies under various loads and faults in virtual time.
 //!
-//! `cargo run --release -p turnford-policy --example sweep [SEED]` prints one row a scenario and
-//! policy. Targets, reports and digests are modelled by a few lines each; the pools, admission and
-//! budgets are those of the node.
+//! `cargo run --release -p turnford-policy --example sweep [SEED]` prints one row per scenario and
+//! policy. Targets, load reports and digests are simple models; pools, admission and deadline
+//! budgets are the code that nodes run.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 
 const NODES: usize = 8;
 const DEADLINE: Duration = Duration::from_secs(4);
-const SPAN: Duration = Duration::from_secs(60);
+const RUN_TIME: Duration = Duration::from_secs(60);
 const WARM_UP: Duration = Duration::from_secs(10);
 const FAULT_AT: Duration = Duration::from_secs(20);
 const TICK: Duration = Duration::from_millis(10);
@@ -52,22 +52,22 @@
 const INPUT: u32 = 600;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Trouble {
+enum FaultKind {
     None,
-    Slow,
-    FastFail,
-    HallGone,
-    ThirdFails,
+    SlowTarget,
+    FastFailure,
+    HallDown,
+    PartialFailure,
     Burst,
-    PoolSlow,
+    SlowPool,
 }
 
 #[derive(Clone, Copy)]
-struct Setup {
+struct Scenario {
     name: &'static str,
     load: f64,
     report_lag: Duration,
-    trouble: Trouble,
+    fault: FaultKind,
 }
 
 #[derive(Clone, Copy)]
@@ -97,17 +97,17 @@
     length: u32,
     deadline: Moment,
     budget: DeadlineBudget,
-    promised: Vec<Duration>,
+    pending: Vec<Duration>,
     stage: usize,
     placement: Option<(usize, StagePlacement)>,
-    alive: bool,
-    tries: u8,
+    active: bool,
+    attempts: u8,
     tried: Vec<Arc<str>>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive,
+    Arrival,
     Finish {
         request: usize,
         service: usize,
@@ -126,8 +126,8 @@
     after_fault: (u64, u64),
 }
 
-struct World {
-    setup: Setup,
+struct Simulation {
+    scenario: Scenario,
     variant: Variant,
     now: Moment,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
@@ -135,22 +135,22 @@
     targets: Vec<Vec<Target>>,
     pools: Vec<Vec<ServicePool>>,
     probes: [ProbeGate; NODES],
-    held: BTreeMap<(usize, usize, u64), usize>,
+    queued: BTreeMap<(usize, usize, u64), usize>,
     requests: Vec<Request>,
     rate: f64,
     rng: SmallRng,
     totals: Totals,
 }
 
-impl World {
-    fn new(setup: Setup, variant: Variant, seed: u64) -> Self {
+impl Simulation {
+    fn new(scenario: Scenario, variant: Variant, seed: u64) -> Self {
         let targets: Vec<Vec<Target>> = SERVICES.iter().map(make_targets).collect();
         let pools = (0..NODES)
             .map(|node| make_pools(&targets, variant, seed, node))
             .collect();
-        let rate = full_rate() * setup.load;
-        let mut world = Self {
-            setup,
+        let rate = full_rate() * scenario.load;
+        let mut simulation = Self {
+            scenario,
             variant,
             now: Moment::ZERO,
             events: BinaryHeap::new(),
@@ -158,15 +158,15 @@
             targets,
             pools,
             probes: [ProbeGate::default(); NODES],
-            held: BTreeMap::new(),
+            queued: BTreeMap::new(),
             requests: Vec::new(),
             rate,
             rng: SmallRng::seed_from_u64(seed),
             totals: Totals::default(),
         };
-        world.push(Moment::ZERO, Event::Arrive);
-        world.push(TICK, Event::Tick(1));
-        world
+        simulation.push(Moment::ZERO, Event::Arrival);
+        simulation.push(TICK, Event::Tick(1));
+        simulation
     }
 
     fn push(&mut self, at: Moment, event: Event) {
@@ -176,12 +176,12 @@
 
     fn run(mut self) -> Totals {
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > SPAN + DEADLINE * 2 {
+            if at > RUN_TIME + DEADLINE * 2 {
                 break;
             }
             self.now = at;
             match event {
-                Event::Arrive => self.arrive(),
+                Event::Arrival => self.handle_arrival(),
                 Event::Finish {
                     request,
                     service,
@@ -190,29 +190,29 @@
                 } => {
                     self.finish(request, service, target, failed);
                 }
-                Event::Tick(number) => self.tick(number),
+                Event::Tick(tick) => self.tick(tick),
             }
         }
         self.totals
     }
 
-    fn arrive(&mut self) {
-        if self.now >= SPAN {
+    fn handle_arrival(&mut self) {
+        if self.now >= RUN_TIME {
             return;
         }
-        let gap: f64 = self.rng.random_range(f64::EPSILON..1.0);
-        let next = self.now + Duration::from_secs_f64(-gap.ln() / self.rate);
-        self.push(next, Event::Arrive);
+        let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
+        let next = self.now + Duration::from_secs_f64(-uniform.ln() / self.rate);
+        self.push(next, Event::Arrival);
         let node = self.rng.random_range(0..NODES);
         let account = [0, 0, 0, 1, 1, 1, 2, 3, 4][self.rng.random_range(0..9)];
         let spread: f64 = self.rng.random_range(0.5..1.5);
-        let burst = self.setup.trouble == Trouble::Burst
+        let burst = self.scenario.fault == FaultKind::Burst
             && self.now >= FAULT_AT
             && self.now < FAULT_AT + Duration::from_secs(10);
         let factor = if burst { 6.0 } else { 1.0 };
         let length = (f64::from(INPUT) * spread * factor) as u32;
         let class = [0, 0, 1, 1, 2][account];
-        if self.counted() {
+        if self.is_measured() {
             self.totals.sent += 1;
             self.totals.after_fault.1 += u64::from(self.now > FAULT_AT + Duration::from_secs(5));
         }
@@ -235,11 +235,11 @@
                 return;
             }
         };
-        let mut promised = Vec::new();
+        let mut pending = Vec::new();
         for (service, pool) in pools.iter_mut().enumerate() {
             let expected = pool.expected_time(now, stage_length(service, length));
             pool.add_pending(class, expected);
-            promised.push(expected);
+            pending.push(expected);
         }
         let request = self.requests.len();
         self.requests.push(Request {
@@ -249,22 +249,22 @@
             length,
             deadline,
             budget,
-            promised,
+            pending,
             stage: 0,
             placement: None,
-            alive: true,
-            tries: 0,
+            active: true,
+            attempts: 0,
             tried: Vec::new(),
         });
-        self.offer(request);
+        self.submit(request);
     }
 
-    fn counted(&self) -> bool {
-        self.now >= WARM_UP && self.now < SPAN
+    fn is_measured(&self) -> bool {
+        self.now >= WARM_UP && self.now < RUN_TIME
     }
 
-    fn work(&self, number: usize) -> StageWork {
-        let request = &self.requests[number];
+    fn work(&self, request_id: usize) -> StageWork {
+        let request = &self.requests[request_id];
         let length = stage_length(request.stage, request.length);
         let pools = &self.pools[request.node];
         let expected = pools[request.stage].expected_time(self.now, length);
@@ -289,20 +289,20 @@
         }
     }
 
-    fn offer(&mut self, number: usize) {
-        let work = self.work(number);
-        let request = &mut self.requests[number];
+    fn submit(&mut self, request_id: usize) {
+        let work = self.work(request_id);
+        let request = &mut self.requests[request_id];
         let (node, service, class) = (request.node, request.stage, request.class);
-        let promised = std::mem::take(&mut request.promised[service]);
+        let pending = std::mem::take(&mut request.pending[service]);
         let pool = &mut self.pools[node][service];
-        pool.remove_pending(class, promised);
+        pool.remove_pending(class, pending);
         match pool.submit(self.now, work) {
-            SubmitResult::Run(placement) => self.send(number, placement),
+            SubmitResult::Run(placement) => self.send(request_id, placement),
             SubmitResult::Queued(ticket) => {
-                self.held.insert((node, service, ticket), number);
+                self.queued.insert((node, service, ticket), request_id);
                 self.pump(node, service);
             }
-            SubmitResult::Refused { .. } => self.end(number, false),
+            SubmitResult::Refused { .. } => self.end(request_id, false),
         }
     }
 
@@ -310,187 +310,193 @@
         for verdict in self.pools[node][service].dispatch(self.now) {
             match verdict {
                 QueueDecision::Run(ticket, placement) => {
-                    if let Some(number) = self.held.remove(&(node, service, ticket)) {
-                        self.send(number, placement);
+                    if let Some(request_id) = self.queued.remove(&(node, service, ticket)) {
+                        self.send(request_id, placement);
                     }
                 }
                 QueueDecision::Shed(ticket, _) => {
-                    if let Some(number) = self.held.remove(&(node, service, ticket)) {
-                        self.end(number, false);
+                    if let Some(request_id) = self.queued.remove(&(node, service, ticket)) {
+                        self.end(request_id, false);
                     }
                 }
             }
         }
     }
 
-    fn send(&mut self, number: usize, placement: StagePlacement) {
-        let service = self.requests[number].stage;
-        let at = placement
+    fn send(&mut self, request_id: usize, placement: StagePlacement) {
+        let service = self.requests[request_id].stage;
+        let index = placement
             .target
             .rsplit('-')
             .next()
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
-        self.requests[number].placement = Some((at, placement));
-        let gone = self.is_gone(service, at);
-        let fails = self.fails_fast(service, at);
-        let target = &mut self.targets[service][at];
-        if gone || fails || target.queue.len() >= target.slots as usize * QUEUE_PER_SLOT {
-            let failed = gone || fails;
-            let at_once = self.now + Duration::from_millis(1);
+        self.requests[request_id].placement = Some((index, placement));
+        let down = self.is_down(service, index);
+        let fails = self.fails_fast(service, index);
+        let target = &mut self.targets[service][index];
+        if down || fails || target.queue.len() >= target.slots as usize * QUEUE_PER_SLOT {
+            let failed = down || fails;
+            let next_millisecond = self.now + Duration::from_millis(1);
             if failed {
                 self.push(
-                    at_once,
+                    next_millisecond,
                     Event::Finish {
-                        request: number,
+                        request: request_id,
                         service,
                         target: usize::MAX,
                         failed,
                     },
                 );
             } else {
-                self.retry(number, StageOutcome::RefusedFull);
+                self.retry(request_id, StageOutcome::RefusedFull);
             }
             return;
         }
         if target.running < target.slots {
-            self.start(number, service, at);
+            self.start(request_id, service, index);
         } else {
-            target.queue.push_back(number);
-            note(target, self.now);
+            target.queue.push_back(request_id);
+            record_load(target, self.now);
         }
     }
 
-    fn start(&mut self, number: usize, service: usize, at: usize) {
+    fn start(&mut self, request_id: usize, service: usize, index: usize) {
         let noise: f64 = self.rng.random_range(0.8..1.2);
-        let slow = self.slowness(service, at);
-        let length = self.requests[number].length;
+        let slow = self.slowness(service, index);
+        let length = self.requests[request_id].length;
         let (_, _, _, base, per_kilo, per_token) = SERVICES[service];
-        let target = &mut self.targets[service][at];
+        let target = &mut self.targets[service][index];
         target.running += 1;
-        note(target, self.now);
-        let crowd = 1.0 + 0.25 * f64::from(target.running) / f64::from(target.slots);
+        record_load(target, self.now);
+        let crowding = 1.0 + 0.25 * f64::from(target.running) / f64::from(target.slots);
         let millis =
             (base + per_kilo * f64::from(length) / 1000.0) * noise + per_token * f64::from(TOKENS);
-        let time = Duration::from_secs_f64(millis / 1000.0 * target.slowness * crowd * slow);
+        let time = Duration::from_secs_f64(millis / 1000.0 * target.slowness * crowding * slow);
         let end = self.now + time;
-        // A call is cancelled at its request's deadline and frees its slot.
-        let end = end.min(self.requests[number].deadline.max(self.now));
-        if self.now >= WARM_UP && self.now < SPAN {
+        // A call is cancelled at the deadline of its request, which frees the slot.
+        let end = end.min(self.requests[request_id].deadline.max(self.now));
+        if self.now >= WARM_UP && self.now < RUN_TIME {
             self.totals.cost += (end - self.now).as_secs_f64() * target.cost;
         }
-        let failed = self.fails_late(service, at);
+        let failed = self.fails_late(service, index);
         self.push(
             end,
             Event::Finish {
-                request: number,
+                request: request_id,
                 service,
-                target: at,
+                target: index,
                 failed,
             },
         );
     }
 
-    fn finish(&mut self, number: usize, service: usize, at: usize, failed: bool) {
-        if at != usize::MAX {
-            let target = &mut self.targets[service][at];
+    fn finish(&mut self, request_id: usize, service: usize, index: usize, failed: bool) {
+        if index != usize::MAX {
+            let target = &mut self.targets[service][index];
             target.running -= 1;
             let next = target.queue.pop_front();
-            note(target, self.now);
+            record_load(target, self.now);
             if let Some(next) = next {
-                self.start(next, service, at);
+                self.start(next, service, index);
             }
         }
         if failed {
-            self.retry(number, StageOutcome::Failed);
+            self.retry(request_id, StageOutcome::Failed);
             return;
         }
-        if self.now >= self.requests[number].deadline {
-            self.give_back(number, StageOutcome::TimedOut);
-            self.end(number, false);
+        if self.now >= self.requests[request_id].deadline {
+            self.finish_placement(request_id, StageOutcome::TimedOut);
+            self.end(request_id, false);
             return;
         }
-        self.give_back(number, StageOutcome::Completed);
-        let request = &mut self.requests[number];
+        self.finish_placement(request_id, StageOutcome::Completed);
+        let request = &mut self.requests[request_id];
         request.stage += 1;
-        request.tries = 0;
+        request.attempts = 0;
         request.tried.clear();
         if request.stage == SERVICES.len() {
-            self.end(number, true);
+            self.end(request_id, true);
         } else {
-            self.offer(number);
+            self.submit(request_id);
         }
     }
 
-    fn retry(&mut self, number: usize, outcome: StageOutcome) {
-        let target = self.give_back(number, outcome);
-        let request = &mut self.requests[number];
-        request.tries += 1;
+    fn retry(&mut self, request_id: usize, outcome: StageOutcome) {
+        let target = self.finish_placement(request_id, outcome);
+        let request = &mut self.requests[request_id];
+        request.attempts += 1;
         request.tried.extend(target);
-        if request.tries >= 4 || self.now >= request.deadline {
-            self.end(number, false);
+        if request.attempts >= 4 || self.now >= request.deadline {
+            self.end(request_id, false);
             return;
         }
-        let work = self.work(number);
-        let (node, service) = (self.requests[number].node, self.requests[number].stage);
+        let work = self.work(request_id);
+        let (node, service) = (
+            self.requests[request_id].node,
+            self.requests[request_id].stage,
+        );
         match self.pools[node][service].submit_retry(self.now, &work) {
-            Some(placement) => self.send(number, placement),
-            None if outcome == StageOutcome::RefusedFull => self.offer(number),
-            None => self.end(number, false),
+            Some(placement) => self.send(request_id, placement),
+            None if outcome == StageOutcome::RefusedFull => self.submit(request_id),
+            None => self.end(request_id, false),
         }
     }
 
-    fn give_back(&mut self, number: usize, outcome: StageOutcome) -> Option<Arc<str>> {
-        let (node, service) = (self.requests[number].node, self.requests[number].stage);
-        let (_, placement) = self.requests[number].placement.take()?;
+    fn finish_placement(&mut self, request_id: usize, outcome: StageOutcome) -> Option<Arc<str>> {
+        let (node, service) = (
+            self.requests[request_id].node,
+            self.requests[request_id].stage,
+        );
+        let (_, placement) = self.requests[request_id].placement.take()?;
         self.pools[node][service].finish(self.now, &placement, outcome);
         self.pump(node, service);
         Some(placement.target)
     }
 
-    fn end(&mut self, number: usize, whole: bool) {
-        let request = &mut self.requests[number];
-        if !std::mem::replace(&mut request.alive, false) {
+    fn end(&mut self, request_id: usize, completed: bool) {
+        let request = &mut self.requests[request_id];
+        if !std::mem::replace(&mut request.active, false) {
             return;
         }
         let (node, class) = (request.node, request.class);
-        let promised = std::mem::take(&mut request.promised);
-        for (service, expected) in promised.into_iter().enumerate() {
+        let pending = std::mem::take(&mut request.pending);
+        for (service, expected) in pending.into_iter().enumerate() {
             self.pools[node][service].remove_pending(class, expected);
         }
-        let request = &self.requests[number];
+        let request = &self.requests[request_id];
         let started = request.deadline - DEADLINE;
-        if whole && started >= WARM_UP && started < SPAN {
+        if completed && started >= WARM_UP && started < RUN_TIME {
             self.totals.attained += 1;
             let after = started > FAULT_AT + Duration::from_secs(5);
             self.totals.after_fault.0 += u64::from(after);
         }
     }
 
-    fn tick(&mut self, number: u64) {
-        self.push(self.now + TICK, Event::Tick(number + 1));
+    fn tick(&mut self, tick: u64) {
+        self.push(self.now + TICK, Event::Tick(tick + 1));
         for node in 0..NODES {
             for service in 0..SERVICES.len() {
                 self.pump(node, service);
             }
         }
-        if number.is_multiple_of(REPORT_EVERY) {
+        if tick.is_multiple_of(REPORT_EVERY) {
             self.report();
         }
-        if self.variant.digests && number.is_multiple_of(DIGEST_EVERY) {
+        if self.variant.digests && tick.is_multiple_of(DIGEST_EVERY) {
             self.digest();
         }
     }
 
     fn report(&mut self) {
-        let taken_at = self.now.saturating_sub(self.setup.report_lag);
+        let taken_at = self.now.saturating_sub(self.scenario.report_lag);
         for (service, targets) in self.targets.iter_mut().enumerate() {
-            for (at, target) in targets.iter_mut().enumerate() {
+            for (index, target) in targets.iter_mut().enumerate() {
                 while target.history.len() > 1 && target.history[1].0 <= taken_at {
                     target.history.pop_front();
                 }
                 let inflight = target.history.front().map_or(0, |(_, count)| *count);
-                let name = target_name(service, at);
+                let name = target_name(service, index);
                 for pools in &mut self.pools {
                     pools[service].apply_report(&name, LoadReport { inflight, taken_at });
                 }
@@ -534,40 +540,44 @@
         }
     }
 
-    fn in_trouble(&self) -> bool {
+    fn is_fault_active(&self) -> bool {
         self.now >= FAULT_AT
     }
 
-    /// Returns the factor on the time of a call that starts now.
-    fn slowness(&self, service: usize, at: usize) -> f64 {
-        let pool_slow = self.setup.trouble == Trouble::PoolSlow
-            && self.in_trouble()
+    /// Returns the slowdown factor of a call that starts now.
+    fn slowness(&self, service: usize, index: usize) -> f64 {
+        let slow_pool = self.scenario.fault == FaultKind::SlowPool
+            && self.is_fault_active()
             && self.now < FAULT_AT + Duration::from_secs(10);
-        let one_slow = self.setup.trouble == Trouble::Slow && self.in_trouble() && at == 2;
-        match (service, pool_slow, one_slow) {
+        let slow_target =
+            self.scenario.fault == FaultKind::SlowTarget && self.is_fault_active() && index == 2;
+        match (service, slow_pool, slow_target) {
             (3, true, _) => 3.0,
             (3, _, true) => 10.0,
             _ => 1.0,
         }
     }
 
-    fn fails_fast(&self, service: usize, at: usize) -> bool {
-        self.setup.trouble == Trouble::FastFail && self.in_trouble() && service == 3 && at == 2
+    fn fails_fast(&self, service: usize, index: usize) -> bool {
+        self.scenario.fault == FaultKind::FastFailure
+            && self.is_fault_active()
+            && service == 3
+            && index == 2
     }
 
-    fn is_gone(&self, service: usize, at: usize) -> bool {
-        self.setup.trouble == Trouble::HallGone
-            && self.in_trouble()
-            && self.targets[service][at].hall == 1
+    fn is_down(&self, service: usize, index: usize) -> bool {
+        self.scenario.fault == FaultKind::HallDown
+            && self.is_fault_active()
+            && self.targets[service][index].hall == 1
     }
 
-    fn fails_late(&mut self, service: usize, at: usize) -> bool {
-        let hit = self.setup.trouble == Trouble::ThirdFails && self.in_trouble();
-        hit && service == 1 && at < 2 && self.rng.random_bool(0.8)
+    fn fails_late(&mut self, service: usize, index: usize) -> bool {
+        let applies = self.scenario.fault == FaultKind::PartialFailure && self.is_fault_active();
+        applies && service == 1 && index < 2 && self.rng.random_bool(0.8)
     }
 }
 
-fn note(target: &mut Target, now: Moment) {
+fn record_load(target: &mut Target, now: Moment) {
     let inflight = target.running + target.queue.len() as u32;
     target.history.push_back((now, inflight));
     if target.history.len() > 4_000 {
@@ -575,9 +585,9 @@
     }
 }
 
-fn target_name(service: usize, at: usize) -> String {
-    // Two digits keep the order of names the order of numbers.
-    format!("{}-{at:02}", SERVICES[service].0)
+fn target_name(service: usize, index: usize) -> String {
+    // Two digits make the order of the names that of the numbers.
+    format!("{}-{index:02}", SERVICES[service].0)
 }
 
 fn stage_length(service: usize, length: u32) -> u32 {
@@ -588,11 +598,11 @@
 }
 
 fn make_targets(spec: &(&str, usize, u32, f64, f64, f64)) -> Vec<Target> {
-    let make = |at: usize| Target {
+    let make = |index: usize| Target {
         slots: spec.2,
-        slowness: if at.is_multiple_of(2) { 1.0 } else { 1.6 },
-        cost: if at.is_multiple_of(2) { 1.0 } else { 0.5 },
-        hall: at % 4,
+        slowness: if index.is_multiple_of(2) { 1.0 } else { 1.6 },
+        cost: if index.is_multiple_of(2) { 1.0 } else { 0.5 },
+        hall: index % 4,
         running: 0,
         queue: VecDeque::new(),
         history: VecDeque::from([(Moment::ZERO, 0)]),
@@ -617,14 +627,21 @@
             settings.health = None;
         }
         let mut pool = ServicePool::new(settings);
-        let facts = targets.iter().enumerate().map(|(at, target)| TargetFacts {
-            id: Arc::from(target_name(service, at)),
-            hardware: Arc::from(if target.slowness > 1.0 { "old" } else { "new" }),
-            slots: target.slots,
-            cost: target.cost,
-            one_way_delay: Duration::from_micros(if target.hall == node % 4 { 100 } else { 600 }),
-            models: Vec::new(),
-        });
+        let facts = targets
+            .iter()
+            .enumerate()
+            .map(|(index, target)| TargetFacts {
+                id: Arc::from(target_name(service, index)),
+                hardware: Arc::from(if target.slowness > 1.0 { "old" } else { "new" }),
+                slots: target.slots,
+                cost: target.cost,
+                one_way_delay: Duration::from_micros(if target.hall == node % 4 {
+                    100
+                } else {
+                    600
+                }),
+                models: Vec::new(),
+            });
         pool.apply_list(facts.collect());
         pool.apply_peer_backlog(0.0, 1.0 / NODES as f64);
         pool
@@ -632,8 +649,8 @@
     targets.iter().enumerate().map(make).collect()
 }
 
-/// Returns the requests a second at which the busiest service's slots are all in use, as a
-/// schedule that knows everything would use them.
+/// Returns the rate in requests per second at which an ideal schedule uses all slots of the
+/// bottleneck service.
 fn full_rate() -> f64 {
     let rates = SERVICES.iter().map(|spec| {
         let millis = spec.3 + spec.4 * f64::from(INPUT) / 1000.0 + spec.5 * f64::from(TOKENS);
@@ -652,38 +669,38 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(1);
     let lag = Duration::from_millis(500);
-    let setup = |name, load, trouble| Setup {
+    let scenario = |name, load, fault| Scenario {
         name,
         load,
         report_lag: lag,
-        trouble,
+        fault,
     };
-    let stale = Setup {
+    let stale = Scenario {
         name: "stale reports 2 s, 1.0x",
         load: 1.0,
         report_lag: Duration::from_secs(2),
-        trouble: Trouble::None,
+        fault: FaultKind::None,
     };
-    let setups = [
-        setup("calm 0.6x", 0.6, Trouble::None),
-        setup("0.9x", 0.9, Trouble::None),
-        setup("full 1.0x", 1.0, Trouble::None),
-        setup("1.5x", 1.5, Trouble::None),
-        setup("2x", 2.0, Trouble::None),
-        setup("3x", 3.0, Trouble::None),
-        setup("burst of long inputs, 0.6x", 0.6, Trouble::Burst),
-        setup("one target x10 slow, 0.6x", 0.6, Trouble::Slow),
-        setup("one target fails fast, 0.6x", 0.6, Trouble::FastFail),
-        setup("one hall gone, 0.6x", 0.6, Trouble::HallGone),
-        setup(
+    let scenarios = [
+        scenario("calm 0.6x", 0.6, FaultKind::None),
+        scenario("0.9x", 0.9, FaultKind::None),
+        scenario("full 1.0x", 1.0, FaultKind::None),
+        scenario("1.5x", 1.5, FaultKind::None),
+        scenario("2x", 2.0, FaultKind::None),
+        scenario("3x", 3.0, FaultKind::None),
+        scenario("burst of long inputs, 0.6x", 0.6, FaultKind::Burst),
+        scenario("one target x10 slow, 0.6x", 0.6, FaultKind::SlowTarget),
+        scenario("one target fails fast, 0.6x", 0.6, FaultKind::FastFailure),
+        scenario("one hall gone, 0.6x", 0.6, FaultKind::HallDown),
+        scenario(
             "a third of a pool fails 0.8, 0.6x",
             0.6,
-            Trouble::ThirdFails,
+            FaultKind::PartialFailure,
         ),
-        setup(
+        scenario(
             "a whole pool x3 slow for 10 s, 0.6x",
             0.6,
-            Trouble::PoolSlow,
+            FaultKind::SlowPool,
         ),
         stale,
     ];
@@ -730,16 +747,16 @@
     );
     println!("| scenario | policy | attained | goodput/s | refused | cost/attained | after 5 s |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for setup in setups {
+    for scenario in scenarios {
         for variant in variants {
-            let totals = World::new(setup, variant, seed).run();
+            let totals = Simulation::new(scenario, variant, seed).run();
             let sent = totals.sent.max(1) as f64;
             println!(
                 "| {} | {} | {:.4} | {:.1} | {:.3} | {:.4} | {:.4} |",
-                setup.name,
+                scenario.name,
                 variant.name,
                 totals.attained as f64 / sent,
-                totals.attained as f64 / (SPAN - WARM_UP).as_secs_f64(),
+                totals.attained as f64 / (RUN_TIME - WARM_UP).as_secs_f64(),
                 totals.refused as f64 / sent,
                 totals.cost / totals.attained.max(1) as f64,
                 totals.after_fault.0 as f64 / totals.after_fault.1.max(1) as f64,
