--- a/packages/turnford-policy/examples/sweep.rs
+++ b/packages/turnford-policy/examples/sweep.rs
@@ -74,7 +74,7 @@
 struct Variant {
     name: &'static str,
     policy: RoutingPolicy,
-    holds: bool,
+    queues_work: bool,
     admits: bool,
     digests: bool,
     ejects: bool,
@@ -619,7 +619,7 @@
     let make = |(service, targets): (usize, &Vec<Target>)| {
         let mut settings = PoolSettings {
             policy: variant.policy,
-            queues_work: variant.holds,
+            queues_work: variant.queues_work,
             seed: seed * 1000 + (node * 10 + service) as u64,
             ..PoolSettings::default()
         };
@@ -707,7 +707,7 @@
     let base = |name, policy| Variant {
         name,
         policy,
-        holds: false,
+        queues_work: false,
         admits: false,
         digests: false,
         ejects: false,
@@ -715,7 +715,7 @@
     let own = Variant {
         name: "estimated",
         policy: RoutingPolicy::Estimated,
-        holds: true,
+        queues_work: true,
         admits: true,
         digests: true,
         ejects: true,
--- a/packages/turnford-policy/src/pool.rs
+++ b/packages/turnford-policy/src/pool.rs
@@ -211,7 +211,7 @@
     /// Returns the expected time of a call, averaged over the targets. `length` is the input length
     /// in tokens.
     ///
-    /// Before anything has been measured, the age of the oldest running call is a lower bound, so
+    /// Without enough recent samples, the age of the oldest running call is a lower bound, so
     /// that a cold pool does not assume slow work to be fast until the first responses arrive.
     pub fn expected_time(&self, now: Moment, length: u32) -> Duration {
         let mean = self.estimates.mean_of_length(now, length);
--- a/packages/turnford-policy/src/work.rs
+++ b/packages/turnford-policy/src/work.rs
@@ -70,7 +70,8 @@
     pub tried: Vec<TargetId>,
 }
 
-/// A target selected for a work item. It must be released with [`ServicePool::finish`].
+/// A target selected for a work item. It must be released with
+/// [`ServicePool::finish`](crate::ServicePool::finish).
 #[derive(Clone, Debug)]
 pub struct StagePlacement {
     /// Selected target.
@@ -92,7 +93,8 @@
 pub enum SubmitResult {
     /// The work runs now.
     Run(StagePlacement),
-    /// The work is queued; [`ServicePool::dispatch`] returns the decision.
+    /// The work is queued; [`ServicePool::dispatch`](crate::ServicePool::dispatch) returns the
+    /// decision.
     Queued(QueueTicket),
     /// The work is refused and has not been started.
     Refused {
