--- a/packages/turnford-policy/src/route.rs
+++ b/packages/turnford-policy/src/route.rs
@@ -1,7 +1,7 @@
-//! Routes: pipelines that are chosen by host and path, their targets, and the decisions about them.
+//! Routes selected by host and path, their targets, and the decisions about their requests.
 //!
-//! A routed request passes the stages of its route, made of pieces that run in batches, and ends in
-//! one call to the route's own service.
+//! A request runs through the stages of its route, whose pieces are batched, and ends in one call
+//! to the route's own service.
 
 mod affinity;
 mod allowance;
--- a/packages/turnford-policy/src/route/affinity.rs
+++ b/packages/turnford-policy/src/route/affinity.rs
@@ -1,7 +1,7 @@
-//! Which target keeps which part of a prompt.
+//! Affinity of prompts to the targets that cache their segments.
 //!
-//! All nodes agree without a word: a prompt's most shared part has a few targets, by rendezvous
-//! hashing, and the part that is the request's session or subject has one of these.
+//! All nodes agree without communication: rendezvous hashing gives the most widely shared segment a
+//! few targets, and one of these to the segment of the session or subject.
 
 use std::hash::Hasher;
 
@@ -11,50 +11,56 @@
 
 use super::PromptSegment;
 
-/// One in so many targets keeps a prompt's most shared part.
-const SHARED_PART: usize = 4;
+/// The most widely shared segment of a prompt is cached by one in this number of targets.
+const TARGETS_PER_REPLICA: usize = 4;
 
-/// Least number of targets that keep a prompt's most shared part, so that one can fail.
-const LEAST_SHARED: usize = 2;
+/// Minimum number of targets that cache the most widely shared segment, so that one of them may
+/// fail.
+const MIN_REPLICAS: usize = 2;
 
-/// The targets that should keep the parts of one prompt.
+/// The targets that should cache the segments of a prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptAffinity {
-    /// Targets in the order in which they should take the request.
-    order: Vec<TargetId>,
+    /// Targets in order of preference.
+    ranked: Vec<TargetId>,
 }
 
 impl PromptAffinity {
-    /// Finds the home of a prompt among these targets.
-    pub fn new<'a>(parts: &[PromptSegment], targets: impl Iterator<Item = &'a TargetId>) -> Self {
-        let Some((_, kept)) = parts.split_last() else {
+    /// Computes the affinity of a prompt among these targets.
+    pub fn new<'a>(
+        segments: &[PromptSegment],
+        targets: impl Iterator<Item = &'a TargetId>,
+    ) -> Self {
+        let Some((_, cached)) = segments.split_last() else {
             return Self::default();
         };
-        let (Some(first), Some(last)) = (kept.first(), kept.last()) else {
+        let (Some(first), Some(last)) = (cached.first(), cached.last()) else {
             return Self::default();
         };
         let mut all: Vec<&TargetId> = targets.collect();
-        let count = (all.len() / SHARED_PART).max(LEAST_SHARED).min(all.len());
+        let count = (all.len() / TARGETS_PER_REPLICA)
+            .max(MIN_REPLICAS)
+            .min(all.len());
         all.sort_by_key(|target| std::cmp::Reverse(weight(first.id, target)));
-        let mut order: Vec<TargetId> = all[..count].iter().map(|id| (*id).clone()).collect();
-        order.sort_by_key(|target| std::cmp::Reverse(weight(last.id, target)));
-        Self { order }
+        let mut ranked: Vec<TargetId> = all[..count].iter().map(|id| (*id).clone()).collect();
+        ranked.sort_by_key(|target| std::cmp::Reverse(weight(last.id, target)));
+        Self { ranked }
     }
 
-    /// Tells whether a target is the one that the request should go to.
+    /// Returns whether a target is the preferred one.
     pub fn is_preferred(&self, target: &TargetId) -> bool {
-        self.order.first() == Some(target)
+        self.ranked.first() == Some(target)
     }
 
-    /// Returns the target that the request should go to.
+    /// Returns the preferred target.
     pub fn preferred(&self) -> Option<&TargetId> {
-        self.order.first()
+        self.ranked.first()
     }
 }
 
-fn weight(part: u64, target: &TargetId) -> u64 {
+fn weight(segment: u64, target: &TargetId) -> u64 {
     let mut hasher = SipHasher13::new();
-    hasher.write_u64(part);
+    hasher.write_u64(segment);
     hasher.write(target.as_bytes());
     hasher.finish()
 }
--- a/packages/turnford-policy/src/route/allowance.rs
+++ b/packages/turnford-policy/src/route/allowance.rs
@@ -1,91 +1,91 @@
-//! Repeats of one service as a part of its traffic, over the whole fleet.
+//! Retries of a service as a fraction of its traffic over the whole fleet.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::Moment;
 
-/// Part of the allowed ratio that is used. The rest covers requests that are counted in another
-/// window by whoever looks from outside.
-const RATIO_PART: f64 = 0.8;
+/// Fraction of the allowed ratio that is used. The rest covers requests that an outside observer
+/// counts in another window.
+const USABLE_RATIO: f64 = 0.8;
 
-/// One node's share of the repeats that a service may get in a sliding window.
+/// One node's share of the retries allowed for a service within a sliding window.
 ///
-/// The sum over all nodes stays below ratio x requests + slack, since each node counts its own
-/// requests and spends its own part of the slack.
+/// Each node counts its own requests and spends its own part of the slack, so the sum over all
+/// nodes stays below ratio x requests + slack.
 #[derive(Debug)]
 pub struct RetryAllowance {
     window: Duration,
     ratio: f64,
     slack: f64,
-    firsts: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    first_attempts: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 impl RetryAllowance {
-    /// Makes an allowance for a node that may spend `slack` repeats of its own in each window.
+    /// Creates an allowance for a node that may spend `slack` retries of its own in each window.
     pub fn new(window: Duration, ratio: f64, slack: f64) -> Self {
         Self {
             window,
             ratio,
             slack,
-            firsts: VecDeque::new(),
-            repeats: VecDeque::new(),
+            first_attempts: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
-    /// Sets this node's part of the slack anew, as the number of nodes changes.
+    /// Sets this node's part of the slack, which depends on the number of nodes.
     pub fn set_slack(&mut self, slack: f64) {
         self.slack = slack;
     }
 
-    /// Notes a request that is new to the service.
+    /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self, now: Moment) {
         self.record_first_attempts(now, 1);
     }
 
-    /// Notes so many requests that are new to the service.
+    /// Records the first attempts of this number of requests.
     pub fn record_first_attempts(&mut self, now: Moment, count: usize) {
-        self.forget(now);
-        self.firsts.extend(std::iter::repeat_n(now, count));
+        self.remove_expired(now);
+        self.first_attempts.extend(std::iter::repeat_n(now, count));
     }
 
-    /// Takes one repeat if the window has room for it.
+    /// Takes one retry if the window allows it.
     pub fn try_take(&mut self, now: Moment) -> bool {
         self.try_take_many(now, 1)
     }
 
-    /// Takes so many repeats, all or none.
+    /// Takes this number of retries, all or none.
     pub fn try_take_many(&mut self, now: Moment, count: usize) -> bool {
-        self.forget(now);
-        let room = self.ratio * RATIO_PART * self.firsts.len() as f64 + self.slack;
-        if (self.repeats.len() + count) as f64 > room {
+        self.remove_expired(now);
+        let limit = self.ratio * USABLE_RATIO * self.first_attempts.len() as f64 + self.slack;
+        if (self.retries.len() + count) as f64 > limit {
             return false;
         }
-        self.repeats.extend(std::iter::repeat_n(now, count));
+        self.retries.extend(std::iter::repeat_n(now, count));
         true
     }
 
-    /// Gives the newest repeat back, which was not made.
+    /// Gives back the newest retry, which was not sent.
     pub fn release(&mut self) {
-        self.repeats.pop_back();
+        self.retries.pop_back();
     }
 
-    /// Returns the repeats in the window that ends now.
+    /// Returns the number of retries in the window that ends now.
     pub fn used(&mut self, now: Moment) -> usize {
-        self.forget(now);
-        self.repeats.len()
+        self.remove_expired(now);
+        self.retries.len()
     }
 
-    fn forget(&mut self, now: Moment) {
-        let begin = now.saturating_sub(self.window);
-        // Where the window reaches back to the start, nothing is old yet.
-        let is_old = |at: &Moment| begin > Moment::ZERO && *at < begin;
-        while self.firsts.front().is_some_and(is_old) {
-            self.firsts.pop_front();
+    fn remove_expired(&mut self, now: Moment) {
+        let start = now.saturating_sub(self.window);
+        // While the window reaches back to the start, nothing is expired.
+        let is_expired = |at: &Moment| start > Moment::ZERO && *at < start;
+        while self.first_attempts.front().is_some_and(is_expired) {
+            self.first_attempts.pop_front();
         }
-        while self.repeats.front().is_some_and(is_old) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(is_expired) {
+            self.retries.pop_front();
         }
     }
 }
--- a/packages/turnford-policy/src/route/call.rs
+++ b/packages/turnford-policy/src/route/call.rs
@@ -1,43 +1,44 @@
-//! What the decisions need to know of a client's call.
+//! Attributes of a client's call that decisions depend on.
 
 use std::time::Duration;
 
-/// A part of a prompt. Requests that begin with the same parts share their work.
+/// A segment of a prompt. Requests whose prompts begin with the same segments share their cached
+/// work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Id of the part.
+    /// Id of the segment.
     pub id: u64,
-    /// Its length, in tokens.
+    /// Length, in tokens.
     pub tokens: u64,
 }
 
-/// A client's call, as decoded from its head.
+/// A client's call, as decoded from its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallAttributes {
-    /// Id of this try of the client; no other try has it.
+    /// Id of this attempt of the client, unique among all attempts.
     pub attempt: String,
-    /// Key of the account.
+    /// API key of the account.
     pub api_key: Option<String>,
     /// Time that the client waits.
     pub client_timeout: Option<Duration>,
-    /// Event of a stream that the client has seen last.
+    /// Last event of a stream that the client has received.
     pub last_event_id: Option<u64>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Longest answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     pub max_output_tokens: u64,
-    /// Parts of the prompt, the most shared one first.
+    /// Segments of the prompt, the most widely shared one first.
     pub segments: Vec<PromptSegment>,
-    /// Number of pieces of each stage; a stage without pieces is left out.
+    /// Number of pieces of each stage. Stages without pieces are skipped.
     pub pieces: Vec<u32>,
-    /// What the first stages need to begin.
+    /// Input of the first stages.
     pub piece_key: Option<String>,
 }
 
 impl CallAttributes {
-    /// Returns the tokens of the prompt that are this request's or its session's own.
+    /// Returns the prompt tokens that are specific to this request or its session.
     pub fn unique_tokens(&self) -> u64 {
-        self.segments.last().map_or(0, |part| part.tokens)
+        self.segments.last().map_or(0, |segment| segment.tokens)
     }
 
     /// Returns the number of pieces of a stage.
--- a/packages/turnford-policy/src/route/capacity.rs
+++ b/packages/turnford-policy/src/route/capacity.rs
@@ -1,57 +1,64 @@
-//! Room for results at the targets of a stage.
+//! Capacity for results at the targets of a stage.
 
 use std::collections::HashMap;
 
 use crate::Moment;
 use crate::TargetId;
 
-/// A result that a target keeps.
+/// A result stored at a target.
 #[derive(Clone, Debug)]
-struct KeptResult {
+struct StoredResult {
     target: TargetId,
     bytes: u64,
-    until: Moment,
+    expires_at: Moment,
 }
 
-/// What is taken of the targets' room, as far as this node's calls took it.
+/// Used result capacity of the targets, as far as known to this node.
 #[derive(Debug, Default)]
-pub(crate) struct RoomLedger {
-    /// Bytes set aside for calls under way.
+pub(crate) struct CapacityLedger {
+    /// Bytes reserved for calls in flight.
     reserved: HashMap<TargetId, u64>,
-    /// Results by their handles.
-    kept: HashMap<String, KeptResult>,
-    /// Bytes that others took, and until when that is believed.
-    foreign: HashMap<TargetId, (u64, Moment)>,
+    /// Stored results by handle.
+    results: HashMap<String, StoredResult>,
+    /// Bytes used by other nodes, and until when that figure is valid.
+    peer_usage: HashMap<TargetId, (u64, Moment)>,
 }
 
-impl RoomLedger {
-    /// Returns the bytes taken at a target.
+impl CapacityLedger {
+    /// Returns the used bytes of a target.
     pub(crate) fn used(&self, now: Moment, target: &TargetId) -> u64 {
-        let kept = self.kept.values();
-        let kept = kept.filter(|result| result.target == *target && result.until > now);
-        let kept: u64 = kept.map(|result| result.bytes).sum();
-        let foreign = self.foreign.get(target);
-        let foreign = foreign.filter(|(_, until)| *until > now);
-        kept + self.reserved.get(target).copied().unwrap_or(0)
-            + foreign.map_or(0, |(bytes, _)| *bytes)
+        let results = self.results.values();
+        let results = results.filter(|result| result.target == *target && result.expires_at > now);
+        let results: u64 = results.map(|result| result.bytes).sum();
+        let peer_usage = self.peer_usage.get(target);
+        let peer_usage = peer_usage.filter(|(_, until)| *until > now);
+        results
+            + self.reserved.get(target).copied().unwrap_or(0)
+            + peer_usage.map_or(0, |(bytes, _)| *bytes)
     }
 
-    /// Notes the bytes that are taken at a target by its own word; what this ledger does not know
-    /// of is others'.
-    pub(crate) fn note_taken(&mut self, now: Moment, target: &TargetId, taken: u64, until: Moment) {
-        self.foreign.remove(target);
+    /// Records the used bytes that a target reported. The part not known to this ledger is
+    /// attributed to other nodes.
+    pub(crate) fn record_usage(
+        &mut self,
+        now: Moment,
+        target: &TargetId,
+        used: u64,
+        until: Moment,
+    ) {
+        self.peer_usage.remove(target);
         let own = self.used(now, target);
-        self.foreign
-            .insert(target.clone(), (taken.saturating_sub(own), until));
+        self.peer_usage
+            .insert(target.clone(), (used.saturating_sub(own), until));
     }
 
-    /// Sets room aside for a call.
+    /// Reserves capacity for a call.
     pub(crate) fn reserve(&mut self, target: &TargetId, bytes: u64) {
         *self.reserved.entry(target.clone()).or_default() += bytes;
     }
 
-    /// Gives back what was set aside for a call that ended.
-    pub(crate) fn end_call(&mut self, target: &str, bytes: u64) {
+    /// Releases the reservation of a call that ended.
+    pub(crate) fn release_reservation(&mut self, target: &str, bytes: u64) {
         if let Some(reserved) = self.reserved.get_mut(target) {
             *reserved = reserved.saturating_sub(bytes);
             if *reserved == 0 {
@@ -60,34 +67,40 @@
         }
     }
 
-    /// Forgets everything that a target held.
-    pub(crate) fn forget_target(&mut self, target: &TargetId) {
+    /// Removes all state of a target.
+    pub(crate) fn remove_target(&mut self, target: &TargetId) {
         self.reserved.remove(target);
-        self.kept.retain(|_, result| result.target != *target);
-        self.foreign.remove(target);
+        self.results.retain(|_, result| result.target != *target);
+        self.peer_usage.remove(target);
     }
 
-    /// Notes a result.
-    pub(crate) fn keep(&mut self, handle: &str, target: &TargetId, bytes: u64, until: Moment) {
-        let result = KeptResult {
+    /// Records a stored result.
+    pub(crate) fn record_result(
+        &mut self,
+        handle: &str,
+        target: &TargetId,
+        bytes: u64,
+        until: Moment,
+    ) {
+        let result = StoredResult {
             target: target.clone(),
             bytes,
-            until,
+            expires_at: until,
         };
-        self.kept.insert(handle.to_owned(), result);
+        self.results.insert(handle.to_owned(), result);
     }
 
-    /// Notes that a result was given up.
+    /// Records that a result was released.
     pub(crate) fn release(&mut self, handle: &str) {
-        self.kept.remove(handle);
+        self.results.remove(handle);
     }
 
-    /// Forgets results that went by themselves; returns when the next one does.
+    /// Removes expired results, and returns when the next one expires.
     pub(crate) fn expire(&mut self, now: Moment) -> Option<Moment> {
-        self.kept.retain(|_, result| result.until > now);
-        self.foreign.retain(|_, (_, until)| *until > now);
-        let kept = self.kept.values().map(|result| result.until);
-        let foreign = self.foreign.values().map(|(_, until)| *until);
-        kept.chain(foreign).min()
+        self.results.retain(|_, result| result.expires_at > now);
+        self.peer_usage.retain(|_, (_, until)| *until > now);
+        let results = self.results.values().map(|result| result.expires_at);
+        let peer_usage = self.peer_usage.values().map(|(_, until)| *until);
+        results.chain(peer_usage).min()
     }
 }
--- a/packages/turnford-policy/src/route/cell.rs
+++ b/packages/turnford-policy/src/route/cell.rs
@@ -1,12 +1,13 @@
-//! Cells: a service's targets in groups, each used by one node for all.
+//! Cells: groups of a service's targets. One node batches the calls of all nodes to a cell.
 
 use super::TargetSpec;
 
-/// Targets in one cell: what a small VM can gather for beside its requests.
+/// Number of targets in a cell, limited by what a small VM can batch for in addition to its
+/// requests.
 const CELL_SIZE: usize = 8;
 
-/// Splits targets into cells, hall by hall, so that a cell's targets are near each other. Nodes
-/// that know the same targets split them alike.
+/// Splits targets into cells, ordered by hall so that the targets of a cell are close to each
+/// other. Nodes that know the same targets get the same cells.
 pub fn split_cells(targets: &[TargetSpec]) -> Vec<Vec<TargetSpec>> {
     let mut sorted: Vec<&TargetSpec> = targets.iter().collect();
     sorted.sort_by_key(|target| (target.hall.clone(), target.id.clone()));
@@ -18,11 +19,11 @@
     cells
 }
 
-/// Returns the cell that holds most targets of a hall, `None` if none does.
+/// Returns the cell with the most targets in a hall. Returns `None` if no cell has any.
 pub fn cell_of_hall(cells: &[Vec<TargetSpec>], hall: &str) -> Option<usize> {
     let counts = cells.iter().map(|cell| {
-        let near = cell.iter().filter(|target| &*target.hall == hall);
-        near.count()
+        let local = cell.iter().filter(|target| &*target.hall == hall);
+        local.count()
     });
     let best = counts.enumerate().max_by_key(|(_, count)| *count);
     best.filter(|(_, count)| *count > 0).map(|(cell, _)| cell)
--- a/packages/turnford-policy/src/route/config.rs
+++ b/packages/turnford-policy/src/route/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of routes, services and accounts, and the targets that serve them.
+//! Configuration of routes, services and accounts, and the targets that serve them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,74 +9,74 @@
 use crate::ServiceId;
 use crate::TargetId;
 
-/// Everything that one version of the configuration says.
+/// One version of the whole configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteConfig {
-    /// Version; rises with each change.
+    /// Version, increased with each change.
     pub version: u64,
-    /// Routes in the order of the configuration.
+    /// Routes in configuration order.
     pub routes: Vec<Arc<RouteSpec>>,
-    /// Services that routes and stages name.
+    /// Services referenced by routes and stages.
     pub services: Vec<Arc<ServiceSpec>>,
-    /// What a client may send.
+    /// Limits on client requests.
     pub limits: ClientLimits,
-    /// Accounts; `None` where requests need no key.
+    /// Accounts. `None` if requests need no key.
     pub accounts: Option<Vec<AccountSpec>>,
 }
 
 impl RouteConfig {
-    /// Returns a service by its name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceSpec>> {
         self.services.iter().find(|service| &*service.name == name)
     }
 }
 
-/// Whether and how a call may be repeated.
+/// Whether a call may be repeated, and how it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// May run more than once.
     Safe,
-    /// Runs once at most.
+    /// Must run at most once.
     Unsafe,
-    /// Answers with a stream of events.
+    /// Answered by a stream of events.
     Stream,
 }
 
-/// A route: which requests it takes, and where they run.
+/// A route, which maps requests to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteSpec {
-    /// Name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// Host that requests name.
+    /// Host name of its requests.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: String,
     /// Kind of its calls.
     pub kind: CallKind,
-    /// Longest time that a request is held.
+    /// Maximum time that a request is held.
     pub timeout: Duration,
-    /// Time within which an answer is worth most; for streams, until the first event.
+    /// Latency within which an answer is in time. For streams, until the first event.
     pub latency_objective: Duration,
-    /// Longest pause between the events of a stream that is still in time.
+    /// Maximum gap between events of a stream that is in time.
     pub gap_objective: Option<Duration>,
-    /// Time after which clients leave a stream that has no event yet.
+    /// Time after which clients abandon a stream without an event.
     pub first_event_timeout: Option<Duration>,
-    /// Rank of its requests; 0 goes first.
+    /// Rank of its requests. Lower ranks go first.
     pub rank: ClassRank,
-    /// Services that share its requests, by weight.
+    /// Services that its requests are split over, by weight.
     pub shares: Vec<ServiceShare>,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets that a request may be sent to.
     pub max_targets: u32,
-    /// Work done before the request itself runs.
+    /// Stages run before the request itself.
     pub stages: Vec<StageSpec>,
     /// Whether requests need no key.
     pub anonymous: bool,
-    /// Whether a broken stream may go on at another target.
+    /// Whether a broken stream may be resumed at another target.
     pub resumable: bool,
 }
 
 impl RouteSpec {
-    /// Tells whether a request of this route may run more than once.
+    /// Returns whether a request of this route may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             CallKind::Safe => true,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns the service for a request, drawn by weight with a number from 0 to below 1.
+    /// Returns the service for a request by weight, for a random number in [0, 1).
     pub fn draw_service(&self, draw: f64) -> Option<&ServiceId> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
         let mut left = draw * total;
@@ -99,84 +99,85 @@
     }
 }
 
-/// A service's part of a route.
+/// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceShare {
-    /// Service.
+    /// Service that gets the share.
     pub service: ServiceId,
-    /// Weight against the other parts.
+    /// Weight relative to the other shares.
     pub weight: f64,
 }
 
 /// A stage of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageSpec {
-    /// Service whose targets run its pieces.
+    /// Service that runs the stage.
     pub service: ServiceId,
-    /// Stages whose results it needs, by number.
+    /// Indices of the stages whose results are needed.
     pub after: Vec<usize>,
-    /// Size of a result, in bytes, roughly.
+    /// Approximate size of a result, in bytes.
     pub result_bytes: u64,
 }
 
-/// A service: targets that do the same.
+/// A service, whose targets are interchangeable.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Path at which its targets tell whether they are well.
+    /// Path of its targets' health check.
     pub health_path: Arc<str>,
-    /// Most connections that one target takes, from all nodes together.
+    /// Maximum number of connections that a target accepts from all nodes together.
     pub connection_limit: usize,
-    /// Present where the targets are model engines.
+    /// Set if the targets are inference engines.
     pub engine: Option<EngineSpec>,
-    /// Present where the targets run pieces of stages.
+    /// Set if the targets run pieces of stages.
     pub batch: Option<BatchSpec>,
 }
 
-/// What one model engine can do.
+/// Capacity of one inference engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at a time.
+    /// Number of concurrent requests.
     pub slots: u32,
-    /// Memory for prompts and answers, in tokens.
+    /// Cache for prompts and answers, in tokens.
     pub cache_tokens: u64,
 }
 
-/// What one target of a stage can do.
+/// Capacity of one target that runs pieces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchSpec {
-    /// Calls at work at a time.
+    /// Number of concurrent calls.
     pub slots: usize,
-    /// Calls that may wait.
+    /// Number of calls that may wait.
     pub queue_limit: usize,
-    /// Most pieces in a call.
+    /// Maximum number of pieces in a call.
     pub max_pieces: usize,
-    /// Time of a call without its pieces.
+    /// Duration of a call without its pieces.
     pub call_overhead: Duration,
-    /// Time that each piece adds, roughly.
+    /// Approximate duration of each piece.
     pub piece_time: Duration,
-    /// Room for results, in bytes.
+    /// Capacity for results, in bytes.
     pub result_capacity: u64,
-    /// Time that a result is kept after its call.
+    /// Time for which a result is stored after its call.
     pub result_ttl: Duration,
 }
 
-/// What a client may send, and how slowly.
+/// Limits on the size and duration of client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of the headers, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of the body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Timeout for receiving the headers.
     pub header_timeout: Duration,
-    /// Longest rest of a kept connection.
+    /// Idle timeout of a kept-alive connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
-    /// What holds until a configuration is known: the usual sizes of HTTP servers.
+    /// Returns the limits that apply until a configuration is known, which are usual for HTTP
+    /// servers.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 * 1024,
@@ -190,41 +191,41 @@
 /// A client account and its keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountSpec {
-    /// Name.
+    /// Name of the account.
     pub name: AccountId,
-    /// Keys that stand for it.
+    /// API keys of the account.
     pub keys: Vec<String>,
-    /// Rank that goes before that of the route.
+    /// Rank that overrides that of the route.
     pub rank: Option<ClassRank>,
 }
 
-/// Start of a target's process, in milliseconds of the time of day.
+/// Start of a target's process, in milliseconds since the Unix epoch.
 pub type ProcessStart = u64;
 
-/// A target as the platform lists it.
+/// A target listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetSpec {
-    /// Its id; a target that starts again may have the same.
+    /// Id, which a restarted target may reuse.
     pub id: TargetId,
-    /// Start of its process, in milliseconds of the time of day; 0 where it does not tell.
+    /// Start of its process. 0 if not announced.
     pub process_start: ProcessStart,
     /// Service that it runs.
     pub service: ServiceId,
-    /// Address.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Hall that it stands in.
+    /// Hall that it runs in.
     pub hall: Arc<str>,
-    /// Requests that it works on at a time.
+    /// Number of concurrent requests.
     pub slots: u32,
-    /// Orders that its process took so far; a process that starts again begins anew.
+    /// Number of orders that its process has accepted, reset by a restart.
     pub orders: u64,
-    /// Whether it is leaving and takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub leaving: bool,
 }
 
 impl TargetSpec {
-    /// Tells whether an older entry of the same id is of the same process. Where its start is not told,
-    /// fewer orders than before tell of another.
+    /// Returns whether an older entry of the same id belongs to the same process. Without a known
+    /// start, a lower number of orders indicates a restart.
     pub fn is_same_process(&self, older: &TargetSpec) -> bool {
         self.process_start == older.process_start
             && (self.process_start != 0 || self.orders >= older.orders)
--- a/packages/turnford-policy/src/route/digest.rs
+++ b/packages/turnford-policy/src/route/digest.rs
@@ -1,28 +1,28 @@
-//! A digest of what a request asks for, the same on each of its tries and at each node.
+//! Digest of a request's content, equal for all attempts and on all nodes.
 
 use std::fmt;
 
 use sha2::Digest;
 use sha2::Sha256;
 
-/// Bytes of a digest: two requests that ask for different things share one by chance once in 2^64
-/// requests, and nobody can make one that is another's.
+/// Size of a digest, in bytes. By chance, two different requests collide once in about 2^64
+/// requests, and a collision with a given request can't be crafted.
 pub const DIGEST_BYTES: usize = 16;
 
-/// Bytes that a log line shows of a digest.
+/// Number of bytes shown in log lines.
 const SHOWN_BYTES: usize = 6;
 
-/// The digest of a request: what it asks for, and who asks. Its id is no part of it, since each try has
-/// another.
+/// Digest of a request's account and content. Request ids are excluded, since each attempt has its
+/// own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestDigest(pub [u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// Returns the digest of a request by its account, host, path with query, and body.
+    /// Computes the digest of a request from its account, host, path with query, and body.
     pub fn new(account: &str, host: &str, path: &str, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [account.as_bytes(), host.as_bytes(), path.as_bytes()] {
-            // With its length before it, no part can pass for the begin of the next one.
+            // The length prefix keeps the end of a part from counting as the start of the next one.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/packages/turnford-policy/src/route/ended_log.rs
+++ b/packages/turnford-policy/src/route/ended_log.rs
@@ -1,4 +1,4 @@
-//! Processes of targets that ended.
+//! Target processes that have ended.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -8,27 +8,27 @@
 use super::config::ProcessStart;
 use super::TargetSpec;
 
-/// Processes that are remembered: more than end in the seconds by which a copy of the store is older, at
-/// the size of some thousand targets.
-const GONE_LIMIT: usize = 1024;
+/// Maximum number of remembered processes. More than the number that end within the age of a
+/// backup, which is some seconds, in a fleet of several thousand targets.
+const MAX_ENTRIES: usize = 1024;
 
-/// A process: its target's id and its start.
+/// Key of a process: the id of its target and its start.
 type ProcessKey = (TargetId, ProcessStart);
 
-/// The processes that ended last, with the era of the store that told.
+/// The most recently ended processes, with the store era in which each end was learned.
 #[derive(Clone, Debug, Default)]
-pub(super) struct GoneLog {
+pub(super) struct EndedLog {
     eras: BTreeMap<ProcessKey, u64>,
-    /// The same in the order of their ends, the newest last.
+    /// Keys in the order of their ends, the newest last.
     order: VecDeque<ProcessKey>,
 }
 
-impl GoneLog {
-    /// Notes that a target's process ended.
-    pub(super) fn note(&mut self, target: &TargetSpec, era: u64) {
+impl EndedLog {
+    /// Records that a target's process has ended.
+    pub(super) fn insert(&mut self, target: &TargetSpec, era: u64) {
         let key = key_of(target);
-        self.forget(target);
-        if self.order.len() >= GONE_LIMIT {
+        self.remove(target);
+        if self.order.len() >= MAX_ENTRIES {
             if let Some(oldest) = self.order.pop_front() {
                 self.eras.remove(&oldest);
             }
@@ -37,23 +37,23 @@
         self.order.push_back(key);
     }
 
-    /// Forgets a process that showed itself alive.
-    pub(super) fn forget(&mut self, target: &TargetSpec) {
+    /// Removes a process that turned out to be alive.
+    pub(super) fn remove(&mut self, target: &TargetSpec) {
         let key = key_of(target);
         if self.eras.remove(&key).is_some() {
             self.order.retain(|other| *other != key);
         }
     }
 
-    /// Tells whether a target's process ended.
-    pub(super) fn has(&self, target: &TargetSpec) -> bool {
+    /// Returns whether a target's process has ended.
+    pub(super) fn contains(&self, target: &TargetSpec) -> bool {
         self.eras.contains_key(&key_of(target))
     }
 
-    /// Tells whether it ended before an era.
-    pub(super) fn has_before(&self, target: &TargetSpec, era: u64) -> bool {
-        let told = self.eras.get(&key_of(target));
-        told.is_some_and(|told| *told < era)
+    /// Returns whether a target's process ended before an era.
+    pub(super) fn ended_before(&self, target: &TargetSpec, era: u64) -> bool {
+        let ended_in = self.eras.get(&key_of(target));
+        ended_in.is_some_and(|ended_in| *ended_in < era)
     }
 }
 
--- a/packages/turnford-policy/src/route/engine.rs
+++ b/packages/turnford-policy/src/route/engine.rs
@@ -1,5 +1,5 @@
-//! Model engines as the node sees them that places requests for all: what each still has to read,
-//! what it runs, and which parts of prompts it keeps.
+//! Placement of requests on inference engines, at the node that places for all: the prefill queue,
+//! the running requests and the cached prompt segments of each engine.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 use crate::Moment;
 use crate::TargetId;
 
-use super::prefill_queue::ReadQueue;
+use super::prefill_queue::PrefillQueue;
 use super::LatencyModel;
 use super::ProcessStart;
 use super::PromptAffinity;
@@ -17,158 +17,162 @@
 use super::TargetSpec;
 use super::TargetTable;
 
-/// Number of a placed request.
+/// Id of a placed request.
 pub type RunTicket = u64;
 
-/// Tokens whose reading is thought to take [`START_SPAN`] before a first prompt was read.
-const START_TOKENS: f64 = 2000.0;
+/// Number of prompt tokens that [`INITIAL_PREFILL`] is assumed for before anything is measured.
+const INITIAL_TOKENS: f64 = 2000.0;
 
-/// Span of reading [`START_TOKENS`] at the start.
-const START_SPAN: Duration = Duration::from_millis(100);
+/// Assumed prefill time of [`INITIAL_TOKENS`] before anything is measured.
+const INITIAL_PREFILL: Duration = Duration::from_millis(100);
 
-/// Span until the first event of a prompt that is kept whole, at the start.
-const START_LAG: Duration = Duration::from_millis(15);
+/// Assumed time to the first event of a fully cached prompt before anything is measured.
+const INITIAL_LATENCY: Duration = Duration::from_millis(15);
 
-/// How far the first event was from what was expected, at the start.
-const START_MISS: Duration = Duration::from_millis(60);
+/// Assumed error of forecasts of the first event before anything is measured.
+const INITIAL_ERROR: Duration = Duration::from_millis(60);
 
-/// Weight of the newest first event in the average of how far they were from what was expected.
-const MISS_WEIGHT: f64 = 0.05;
+/// Weight of the newest sample in the moving average of the forecast error.
+const ERROR_WEIGHT: f64 = 0.05;
 
-/// Cost of a request that is late for sure, in seconds.
+/// Cost of a request that is certainly late, in seconds.
 const LATE_COST: f64 = 1.0;
 
-/// Price of reading a token of a shared part anew, in seconds, beside the time that it takes.
-const SHARED_PRICE: f64 = 2.0 / 32_000.0;
+/// Cost per token of prefilling an uncached shared segment, in seconds, on top of the time that it
+/// takes.
+const SHARED_TOKEN_COST: f64 = 2.0 / 32_000.0;
 
-/// Time that one more running request adds to another's, in seconds.
+/// Time that each running request adds to the others, in seconds.
 const RUN_COST: f64 = 0.004;
 
-/// Cost of a megabyte of inputs that crosses halls, in seconds.
-const MOVE_COST: f64 = 0.05;
+/// Cost per megabyte of inputs that are transferred between halls, in seconds.
+const TRANSFER_COST: f64 = 0.05;
 
-/// Cost of a target that is not the prompt's home, in seconds, so that equal ones are not equal.
-const AWAY_COST: f64 = 0.004;
+/// Cost of a target without affinity for the prompt, in seconds, as a tie-breaker.
+const NO_AFFINITY_COST: f64 = 0.004;
 
-/// Part of an engine's memory that running requests may take before others are preempted.
-const MEMORY_PART: f64 = 0.9;
+/// Share of an engine's memory that running requests may use before some are preempted.
+const MEMORY_THRESHOLD: f64 = 0.9;
 
-/// Cost of an engine whose memory would run over, in seconds.
+/// Cost of exceeding an engine's memory, in seconds.
 const MEMORY_COST: f64 = 4.0;
 
-/// Time after which a placed request that nothing was heard of is forgotten, beyond its deadline.
-const FORGET_SPAN: Duration = Duration::from_secs(2);
+/// Time after its deadline at which a placed request is dropped if its end was not reported.
+const EXPIRY_GRACE: Duration = Duration::from_secs(2);
 
-/// What the placement of a request depends on.
+/// A request to be placed.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// Parts of the prompt, the most shared one first, the request's own last.
+    /// Segments of the prompt, the most widely shared one first and the request's own last.
     pub segments: Vec<PromptSegment>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Longest answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     pub max_output_tokens: u64,
-    /// Bytes of its inputs in each hall.
+    /// Bytes of the request's inputs in each hall.
     pub inputs: Vec<(Arc<str>, u64)>,
-    /// Targets that it was sent to before.
+    /// Targets that the request was sent to before.
     pub tried: Vec<TargetId>,
-    /// When its first event should come for it to be in time.
+    /// When the first event is due for the request to be in time.
     pub due: Moment,
     /// When the request ends at the latest.
     pub deadline: Moment,
 }
 
 impl PlacementRequest {
-    /// Returns the memory that the request takes, in tokens.
+    /// Returns the memory that the request needs, in tokens.
     fn memory(&self) -> u64 {
         self.prompt_tokens + self.max_output_tokens
     }
 }
 
-/// A request that runs at an engine.
+/// A request placed on an engine.
 #[derive(Clone, Debug)]
 struct EngineRun {
     target: TargetId,
     /// Start of the target's process.
-    born: ProcessStart,
+    process_start: ProcessStart,
     memory: u64,
-    has_begun: bool,
-    placed: Moment,
-    /// When its first event was expected.
-    expected: Moment,
-    forget_at: Moment,
+    has_first_event: bool,
+    placed_at: Moment,
+    /// When the first event was expected.
+    expected_at: Moment,
+    expires_at: Moment,
 }
 
-/// A part that an engine keeps.
+/// A cached prompt segment.
 #[derive(Clone, Copy, Debug)]
-struct KeptPart {
+struct CachedSegment {
     tokens: u64,
-    used: Moment,
+    last_used: Moment,
 }
 
-/// One engine.
+/// State of one engine.
 #[derive(Clone, Debug, Default)]
 struct EngineState {
     /// Start of its process.
-    born: ProcessStart,
-    reading: ReadQueue,
-    /// Requests that it reads or runs.
+    process_start: ProcessStart,
+    prefills: PrefillQueue,
+    /// Number of placed requests that have not ended.
     runs: usize,
     memory: u64,
-    kept: HashMap<u64, KeptPart>,
-    kept_tokens: u64,
+    cache: HashMap<u64, CachedSegment>,
+    cached_tokens: u64,
 }
 
 impl EngineState {
-    /// Returns the tokens to read anew: of shared parts, and of the request's own.
-    fn missing(&self, need: &PlacementRequest) -> (u64, u64) {
-        let Some((own, shared)) = need.segments.split_last() else {
-            return (0, need.prompt_tokens);
+    /// Returns the uncached tokens of shared segments, and the tokens of the request's own segment.
+    fn uncached_tokens(&self, request: &PlacementRequest) -> (u64, u64) {
+        let Some((own, shared)) = request.segments.split_last() else {
+            return (0, request.prompt_tokens);
         };
-        let mut is_kept = true;
-        let mut missing = 0;
-        for part in shared {
-            is_kept = is_kept && self.kept.contains_key(&part.id);
-            if !is_kept {
-                missing += part.tokens;
+        let mut is_cached = true;
+        let mut uncached = 0;
+        for segment in shared {
+            is_cached = is_cached && self.cache.contains_key(&segment.id);
+            if !is_cached {
+                uncached += segment.tokens;
             }
         }
-        (missing, own.tokens)
+        (uncached, own.tokens)
     }
 
-    fn keep(&mut self, now: Moment, part: &PromptSegment) {
-        let kept = KeptPart {
-            tokens: part.tokens,
-            used: now,
+    fn insert_cached(&mut self, now: Moment, segment: &PromptSegment) {
+        let cached = CachedSegment {
+            tokens: segment.tokens,
+            last_used: now,
         };
-        if let Some(old) = self.kept.insert(part.id, kept) {
-            self.kept_tokens -= old.tokens;
+        if let Some(old) = self.cache.insert(segment.id, cached) {
+            self.cached_tokens -= old.tokens;
         }
-        self.kept_tokens += part.tokens;
+        self.cached_tokens += segment.tokens;
     }
 
-    /// Drops the parts unused the longest until the others fit beside what runs.
+    /// Evicts the least recently used segments until the rest fits beside the running requests.
     fn evict(&mut self, capacity: u64) {
-        while self.kept_tokens + self.memory > capacity {
-            let oldest = self.kept.iter().min_by_key(|(_, part)| part.used);
-            let Some((&id, &part)) = oldest else {
+        while self.cached_tokens + self.memory > capacity {
+            let oldest = self
+                .cache
+                .iter()
+                .min_by_key(|(_, segment)| segment.last_used);
+            let Some((&id, &segment)) = oldest else {
                 return;
             };
-            self.kept.remove(&id);
-            self.kept_tokens -= part.tokens;
+            self.cache.remove(&id);
+            self.cached_tokens -= segment.tokens;
         }
     }
 }
 
-/// The engines of one service.
+/// The engines of one service, and the requests placed on them.
 #[derive(Clone, Debug)]
 pub struct EngineScheduler {
     /// Memory of one engine, in tokens.
     capacity: u64,
-    /// Span until the first event by the tokens that are read.
-    read_line: LatencyModel,
-    /// How far first events were from what was expected, on average.
-    miss: Duration,
+    /// Time to the first event by the number of tokens to prefill.
+    prefill_model: LatencyModel,
+    /// Moving average of the error of first event forecasts.
+    forecast_error: Duration,
     engines: BTreeMap<TargetId, EngineState>,
     runs: HashMap<RunTicket, EngineRun>,
     next_ticket: RunTicket,
@@ -178,8 +182,12 @@
     fn default() -> Self {
         Self {
             capacity: 0,
-            read_line: LatencyModel::new(START_LAG, START_TOKENS, START_LAG + START_SPAN),
-            miss: START_MISS,
+            prefill_model: LatencyModel::new(
+                INITIAL_LATENCY,
+                INITIAL_TOKENS,
+                INITIAL_LATENCY + INITIAL_PREFILL,
+            ),
+            forecast_error: INITIAL_ERROR,
             engines: BTreeMap::new(),
             runs: HashMap::new(),
             next_ticket: 0,
@@ -193,136 +201,138 @@
         self.capacity = tokens;
     }
 
-    /// Forgets engines that are gone or started again.
-    pub fn retain_listed(&mut self, board: &TargetTable) {
+    /// Removes engines that are no longer listed or whose process restarted.
+    pub fn retain_listed(&mut self, table: &TargetTable) {
         let is_same = |id: &TargetId, engine: &EngineState| {
-            let listed = board.get(id);
-            listed.is_some_and(|listed| listed.process_start == engine.born)
+            let listed = table.get(id);
+            listed.is_some_and(|listed| listed.process_start == engine.process_start)
         };
         self.engines.retain(|id, engine| is_same(id, engine));
     }
 
-    /// Places a request, and notes that it runs there.
+    /// Places a request on the engine with the lowest cost, and records it there. Returns `None` if
+    /// no target is left.
     pub fn place(
         &mut self,
         now: Moment,
-        board: &TargetTable,
-        need: &PlacementRequest,
+        table: &TargetTable,
+        request: &PlacementRequest,
     ) -> Option<(TargetSpec, RunTicket)> {
-        self.forget_late(now);
-        let home = PromptAffinity::new(
-            &need.segments,
-            board.open_targets().map(|target| &target.id),
+        self.remove_expired(now);
+        let affinity = PromptAffinity::new(
+            &request.segments,
+            table.open_targets().map(|target| &target.id),
         );
         let cost = |target: &TargetSpec, _: f64| {
-            let slowness = board.slowness(now, &target.id);
-            self.cost(now, target, need, &home, slowness)
+            let slowness = table.slowness(now, &target.id);
+            self.cost(now, target, request, &affinity, slowness)
         };
-        let chosen = board.choose(now, &need.tried, cost)?;
-        let slowness = board.slowness(now, &chosen.id);
-        let ticket = self.start(now, &chosen, need, slowness);
+        let chosen = table.choose(now, &request.tried, cost)?;
+        let slowness = table.slowness(now, &chosen.id);
+        let ticket = self.start(now, &chosen, request, slowness);
         Some((chosen, ticket))
     }
 
-    /// Returns the cost of an engine for a request, in seconds.
+    /// Returns the cost of placing a request on an engine, in seconds.
     fn cost(
         &self,
         now: Moment,
         target: &TargetSpec,
-        need: &PlacementRequest,
-        home: &PromptAffinity,
+        request: &PlacementRequest,
+        affinity: &PromptAffinity,
         slowness: f64,
     ) -> f64 {
         let unknown = EngineState::default();
         let engine = self.engines.get(&target.id).unwrap_or(&unknown);
-        let (shared, own) = engine.missing(need);
-        let span = first_span(now, &self.read_line, engine, shared + own, slowness);
-        let read = span.as_secs_f64();
-        let price = shared as f64 * SHARED_PRICE;
-        let late = self.late_chance(now + span, need.due) * LATE_COST;
-        let all: u64 = need.inputs.iter().map(|(_, bytes)| bytes).sum();
-        let near = need.inputs.iter().find(|(hall, _)| *hall == target.hall);
-        let foreign = all - near.map_or(0, |(_, bytes)| *bytes);
-        let moving = foreign as f64 / 1e6 * MOVE_COST;
-        let limit = self.capacity as f64 * MEMORY_PART;
-        let is_over = (engine.memory + need.memory()) as f64 > limit;
+        let (shared, own) = engine.uncached_tokens(request);
+        let latency = time_to_first_event(now, &self.prefill_model, engine, shared + own, slowness);
+        let prefill = latency.as_secs_f64();
+        let caching = shared as f64 * SHARED_TOKEN_COST;
+        let late = self.late_probability(now + latency, request.due) * LATE_COST;
+        let all: u64 = request.inputs.iter().map(|(_, bytes)| bytes).sum();
+        let local = request.inputs.iter().find(|(hall, _)| *hall == target.hall);
+        let remote = all - local.map_or(0, |(_, bytes)| *bytes);
+        let transfer = remote as f64 / 1e6 * TRANSFER_COST;
+        let limit = self.capacity as f64 * MEMORY_THRESHOLD;
+        let is_over = (engine.memory + request.memory()) as f64 > limit;
         let memory = if is_over { MEMORY_COST } else { 0.0 };
-        let away = if home.is_preferred(&target.id) {
+        let no_affinity = if affinity.is_preferred(&target.id) {
             0.0
         } else {
-            AWAY_COST
+            NO_AFFINITY_COST
         };
-        read + late + price + moving + memory + away + engine.runs as f64 * RUN_COST
+        prefill + late + caching + transfer + memory + no_affinity + engine.runs as f64 * RUN_COST
     }
 
-    /// Returns the chance that a first event which is expected at a moment comes after it is due, from
-    /// 0 to 1.
-    fn late_chance(&self, expected: Moment, due: Moment) -> f64 {
-        let late = expected.as_secs_f64() - due.as_secs_f64();
-        1.0 / (1.0 + (-late / self.miss.as_secs_f64().max(0.001)).exp())
+    /// Returns the probability that a first event expected at a moment comes after it is due.
+    fn late_probability(&self, expected_at: Moment, due: Moment) -> f64 {
+        let lateness = expected_at.as_secs_f64() - due.as_secs_f64();
+        1.0 / (1.0 + (-lateness / self.forecast_error.as_secs_f64().max(0.001)).exp())
     }
 
     fn start(
         &mut self,
         now: Moment,
         target: &TargetSpec,
-        need: &PlacementRequest,
+        request: &PlacementRequest,
         slowness: f64,
     ) -> RunTicket {
         self.next_ticket += 1;
         let engine = self.engines.entry(target.id.clone()).or_default();
-        if engine.born != target.process_start {
+        if engine.process_start != target.process_start {
             *engine = EngineState {
-                born: target.process_start,
+                process_start: target.process_start,
                 ..EngineState::default()
             };
         }
-        let (shared, own) = engine.missing(need);
+        let (shared, own) = engine.uncached_tokens(request);
         let tokens = shared + own;
-        let span = first_span(now, &self.read_line, engine, tokens, slowness);
-        engine.reading.push(now, self.next_ticket, tokens);
+        let latency = time_to_first_event(now, &self.prefill_model, engine, tokens, slowness);
+        engine.prefills.push(now, self.next_ticket, tokens);
         engine.runs += 1;
-        engine.memory += need.memory();
-        for part in need.segments.iter().rev().skip(1) {
-            engine.keep(now, part);
+        engine.memory += request.memory();
+        for segment in request.segments.iter().rev().skip(1) {
+            engine.insert_cached(now, segment);
         }
         engine.evict(self.capacity);
         let run = EngineRun {
             target: target.id.clone(),
-            born: target.process_start,
-            memory: need.memory(),
-            has_begun: false,
-            placed: now,
-            expected: now + span,
-            forget_at: need.deadline + FORGET_SPAN,
+            process_start: target.process_start,
+            memory: request.memory(),
+            has_first_event: false,
+            placed_at: now,
+            expected_at: now + latency,
+            expires_at: request.deadline + EXPIRY_GRACE,
         };
         self.runs.insert(self.next_ticket, run);
         self.next_ticket
     }
 
-    /// Notes that a placed request has its first event, so long after it was placed: its prompt is
-    /// read. Returns its span against what was expected, where it tells of its engine's speed.
-    pub fn record_first_event(&mut self, ticket: RunTicket, span: Duration) -> Option<f64> {
+    /// Records that the first event of a placed request came at this time after its placement,
+    /// which ends the prefill. Returns the duration relative to the expected one if it is
+    /// significant for the engine's speed.
+    pub fn record_first_event(&mut self, ticket: RunTicket, duration: Duration) -> Option<f64> {
         let run = self.runs.get_mut(&ticket)?;
-        if std::mem::replace(&mut run.has_begun, true) {
+        if std::mem::replace(&mut run.has_first_event, true) {
             return None;
         }
-        let came = run.placed + span;
-        let missed = came.abs_diff(run.expected);
-        self.miss = self.miss.mul_f64(1.0 - MISS_WEIGHT) + missed.mul_f64(MISS_WEIGHT);
+        let event_at = run.placed_at + duration;
+        let error = event_at.abs_diff(run.expected_at);
+        self.forecast_error =
+            self.forecast_error.mul_f64(1.0 - ERROR_WEIGHT) + error.mul_f64(ERROR_WEIGHT);
         let engine = self.engines.get_mut(&run.target)?;
-        let sample = engine.reading.finish(came, ticket)?;
+        let sample = engine.prefills.finish(event_at, ticket)?;
         let tokens = sample.tokens as f64;
-        let lag = if sample.was_idle {
+        let base = if sample.was_idle {
             Duration::ZERO
         } else {
-            self.read_line.base()
+            self.prefill_model.base()
         };
-        let span = sample.span + lag;
-        let expected = self.read_line.predict(tokens);
-        self.read_line.observe(tokens, span);
-        let is_telling = expected > self.read_line.base() * 2;
-        is_telling.then(|| span.as_secs_f64() / expected.as_secs_f64())
+        let duration = sample.duration + base;
+        let expected = self.prefill_model.predict(tokens);
+        self.prefill_model.observe(tokens, duration);
+        let is_significant = expected > self.prefill_model.base() * 2;
+        is_significant.then(|| duration.as_secs_f64() / expected.as_secs_f64())
     }
 
     /// Returns the target of a placed request.
@@ -330,37 +340,37 @@
         self.runs.get(&ticket).map(|run| &run.target)
     }
 
-    /// Notes that a placed request ended, however it did.
+    /// Records that a placed request ended, with any outcome.
     pub fn record_end(&mut self, ticket: RunTicket) {
         let Some(run) = self.runs.remove(&ticket) else {
             return;
         };
         let engine = self.engines.get_mut(&run.target);
-        if let Some(engine) = engine.filter(|engine| engine.born == run.born) {
-            engine.reading.remove(ticket);
+        if let Some(engine) = engine.filter(|engine| engine.process_start == run.process_start) {
+            engine.prefills.remove(ticket);
             engine.runs = engine.runs.saturating_sub(1);
             engine.memory = engine.memory.saturating_sub(run.memory);
         }
     }
 
-    /// Forgets requests whose node did not tell their end.
-    fn forget_late(&mut self, now: Moment) {
-        let late = self.runs.iter().filter(|(_, run)| run.forget_at <= now);
-        let late: Vec<RunTicket> = late.map(|(ticket, _)| *ticket).collect();
-        for ticket in late {
+    /// Removes requests whose node did not report their end.
+    fn remove_expired(&mut self, now: Moment) {
+        let expired = self.runs.iter().filter(|(_, run)| run.expires_at <= now);
+        let expired: Vec<RunTicket> = expired.map(|(ticket, _)| *ticket).collect();
+        for ticket in expired {
             self.record_end(ticket);
         }
     }
 }
 
-/// Returns the span until the first event of a request that has so many tokens to be read at an engine.
-fn first_span(
+/// Returns the time to the first event of a request with this number of tokens to prefill.
+fn time_to_first_event(
     now: Moment,
-    line: &LatencyModel,
+    model: &LatencyModel,
     engine: &EngineState,
     tokens: u64,
     slowness: f64,
 ) -> Duration {
-    let wait = engine.reading.wait(now, line, slowness);
-    wait + line.predict(tokens as f64).mul_f64(slowness)
+    let wait = engine.prefills.wait(now, model, slowness);
+    wait + model.predict(tokens as f64).mul_f64(slowness)
 }
--- a/packages/turnford-policy/src/route/flow.rs
+++ b/packages/turnford-policy/src/route/flow.rs
@@ -1,7 +1,8 @@
-//! What all admitted requests still need of the stages' services, at the node that admits for all.
+//! Admission by the remaining work of all admitted requests, kept at the node that admits for all.
 //!
-//! A queue shows only the pieces that have come to it. A burst is first seen in the first stage while
-//! a later one is what will run out, so admission counts the pieces that are yet to come as well.
+//! A queue only holds the pieces that have reached it. A burst shows first at the first stage
+//! although a later one may be the bottleneck, so admission also counts the pieces that are still
+//! to come.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,49 +14,49 @@
 use super::flow_service::OpenStage;
 use super::flow_service::Ranks;
 use super::flow_service::StageRate;
-use super::flow_service::LEAST_RATE;
+use super::flow_service::MIN_RATE_RATIO;
 
-/// Number of an admitted request.
+/// Id of an admitted request.
 pub type FlowTicket = u64;
 
-/// Wait for a service that has no target: longer than any request's time.
+/// Wait for a service without targets, longer than any request's deadline.
 const NEVER: Duration = Duration::from_secs(3600);
 
-/// Longest time to come back that is told. Clients wait for some seconds at most, and what is known of
-/// the queues is older than that by then.
+/// Upper bound of the retry delay returned to refused clients. Clients wait a few seconds at most,
+/// and the known state of the queues is out of date by then.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Time after its deadline for which a request that nothing was heard of is remembered.
-const FORGET_SPAN: Duration = Duration::from_secs(2);
+/// Time after its deadline at which a request is dropped if its end was not reported.
+const EXPIRY_GRACE: Duration = Duration::from_secs(2);
 
-/// A stage of a request.
+/// One stage of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowStage {
-    /// Service that runs it.
+    /// Service that runs the stage.
     pub service: ServiceId,
-    /// Its pieces; none where the request leaves it out.
+    /// Number of pieces. 0 if the request skips the stage.
     pub pieces: u32,
-    /// Stages whose results it needs, all before it.
+    /// Indices of the stages whose results are needed. All are before this one.
     pub inputs: Vec<usize>,
 }
 
-/// What a request needs.
+/// Work of a request that asks for admission.
 #[derive(Clone, Debug)]
 pub struct FlowRequest {
-    /// Its stages.
+    /// Stages in order.
     pub stages: Vec<FlowStage>,
-    /// Ranks of its account and its route; 0 goes first.
+    /// Ranks of the account and the route. Lower ranks go first.
     pub ranks: Ranks,
-    /// Time in which its stages must be done.
+    /// Time within which the stages must be done.
     pub time_budget: Duration,
-    /// When it ends at the latest.
+    /// When the request ends at the latest.
     pub deadline: Moment,
 }
 
-/// When an admitted request's stages will be done, from now, by all that is known.
+/// Expected ends of an admitted request's stages, relative to now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowForecast {
-    /// End of each stage; 0 for those that are done or left out.
+    /// End of each stage. 0 for stages that are done or skipped.
     pub ends: Vec<Duration>,
 }
 
@@ -66,26 +67,26 @@
     }
 }
 
-/// Why a request is not admitted.
+/// Refusal of a request whose stages would be late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowRefusal {
-    /// By how much its stages would be late.
+    /// Time by which the stages would be late.
     pub lateness: Duration,
-    /// Time to come back, when the queues will have room for one like it. Those that are refused
-    /// together get different ones.
+    /// Delay after which the queues are expected to have room for a similar request. Requests
+    /// refused together get different delays.
     pub retry_after: Duration,
 }
 
 /// An admitted request.
 #[derive(Clone, Debug)]
 struct FlowRun {
-    /// Its stages; `None` for one that is done or left out.
-    open: Vec<Option<OpenStage>>,
+    /// Stages in order. `None` for those that are done or skipped.
+    open_stages: Vec<Option<OpenStage>>,
     ranks: Ranks,
-    forget_at: Moment,
+    expires_at: Moment,
 }
 
-/// All admitted requests whose stages are not done.
+/// Admission of requests to the stages' services.
 #[derive(Clone, Debug, Default)]
 pub struct FlowController {
     services: HashMap<ServiceId, FlowService>,
@@ -94,49 +95,49 @@
 }
 
 impl FlowController {
-    /// Admits a request if its stages will be done in time, and tells when they will be.
+    /// Admits a request if its stages are expected to end in time, and returns their forecast.
     ///
     /// # Errors
     ///
-    /// Returns by how much they would be late, and when to come back.
+    /// Returns the expected lateness and a retry delay if the stages would end late.
     pub fn admit(
         &mut self,
         now: Moment,
-        need: &FlowRequest,
+        request: &FlowRequest,
         rate_of: impl Fn(&str) -> Option<StageRate>,
     ) -> Result<(FlowTicket, FlowForecast), FlowRefusal> {
-        self.forget_late(now);
-        for stage in &need.stages {
+        self.remove_expired(now);
+        for stage in &request.stages {
             if let Some(rate) = rate_of(&stage.service) {
                 let service = self.services.entry(stage.service.clone()).or_default();
-                service.measure(now, rate.nominal);
+                service.update_rate(now, rate.nominal);
             }
         }
-        let forecast = self.forecast_new(need, &rate_of);
-        let lateness = forecast.end().saturating_sub(need.time_budget);
+        let forecast = self.forecast_new(request, &rate_of);
+        let lateness = forecast.end().saturating_sub(request.time_budget);
         if !lateness.is_zero() {
-            let retry_after = self.plan_return(now, need, lateness, &rate_of);
+            let retry_after = self.schedule_retry(now, request, lateness, &rate_of);
             return Err(FlowRefusal {
                 lateness,
                 retry_after,
             });
         }
-        let open = need.stages.iter().map(|stage| {
-            let mut open = OpenStage {
+        let open_stages = request.stages.iter().map(|stage| {
+            let mut open_stage = OpenStage {
                 service: stage.service.clone(),
                 pieces: stage.pieces,
                 inputs: stage.inputs.clone(),
-                before: 0,
-                marks: (0, 0),
+                ahead_at_admission: 0,
+                counters_at_admission: (0, 0),
             };
             let service = self.services.entry(stage.service.clone()).or_default();
-            service.add(need.ranks, &mut open);
-            (stage.pieces > 0).then_some(open)
+            service.add_stage(request.ranks, &mut open_stage);
+            (stage.pieces > 0).then_some(open_stage)
         });
         let run = FlowRun {
-            open: open.collect(),
-            ranks: need.ranks,
-            forget_at: need.deadline + FORGET_SPAN,
+            open_stages: open_stages.collect(),
+            ranks: request.ranks,
+            expires_at: request.deadline + EXPIRY_GRACE,
         };
         self.next_ticket += 1;
         self.runs.insert(self.next_ticket, run);
@@ -146,20 +147,20 @@
     /// Forecasts the stages of a request that is not admitted.
     fn forecast_new(
         &self,
-        need: &FlowRequest,
+        request: &FlowRequest,
         rate_of: impl Fn(&str) -> Option<StageRate>,
     ) -> FlowForecast {
-        let stages = need.stages.iter().map(|stage| {
+        let stages = request.stages.iter().map(|stage| {
             let rate = rate_of(&stage.service).filter(|_| stage.pieces > 0)?;
-            let ahead = |service: &FlowService| service.ahead(need.ranks);
-            let wait = self.wait(&stage.service, &rate, need.ranks, ahead);
-            Some((wait, rate.span(stage.pieces), &stage.inputs[..]))
+            let ahead = |service: &FlowService| service.pieces_ahead(request.ranks);
+            let wait = self.wait(&stage.service, &rate, request.ranks, ahead);
+            Some((wait, rate.call_time(stage.pieces), &stage.inputs[..]))
         });
         forecast_stages(stages)
     }
 
-    /// Forecasts what is left of an admitted request's stages; `None` if it is not known. Pieces of
-    /// one that will be late go behind those of all others.
+    /// Forecasts the remaining stages of an admitted request. Returns `None` if the request is
+    /// unknown. Pieces of a request that will be late are processed after those of all others.
     pub fn forecast(
         &self,
         ticket: FlowTicket,
@@ -167,23 +168,26 @@
         rate_of: impl Fn(&str) -> Option<StageRate>,
     ) -> Option<FlowForecast> {
         let run = self.runs.get(&ticket)?;
-        let stages = run.open.iter().map(|open| {
+        let stages = run.open_stages.iter().map(|open| {
             let stage = open.as_ref()?;
             let rate = rate_of(&stage.service)?;
             let ahead = |service: &FlowService| {
                 if is_late {
-                    service.all().saturating_sub(u64::from(stage.pieces))
+                    service
+                        .total_backlog()
+                        .saturating_sub(u64::from(stage.pieces))
                 } else {
-                    service.ahead_of(run.ranks, stage)
+                    service.pieces_ahead_of(run.ranks, stage)
                 }
             };
             let wait = self.wait(&stage.service, &rate, run.ranks, ahead);
-            Some((wait, rate.span(stage.pieces), &stage.inputs[..]))
+            Some((wait, rate.call_time(stage.pieces), &stage.inputs[..]))
         });
         Some(forecast_stages(stages))
     }
 
-    /// Returns the time until what is ahead at a service is made. One without targets makes nothing.
+    /// Returns the time until the pieces ahead at a service are done. A service without targets
+    /// never gets there.
     fn wait(
         &self,
         service: &str,
@@ -200,45 +204,45 @@
         rate.available_in + service.wait(rate.nominal, ranks, ahead(service))
     }
 
-    /// Chooses when a request that is refused should come back: when it would not be late, and not
-    /// together with those that were refused before it.
-    fn plan_return(
+    /// Chooses the retry delay of a refused request, so that the retry is in time and doesn't
+    /// coincide with those of requests refused before.
+    fn schedule_retry(
         &mut self,
         now: Moment,
-        need: &FlowRequest,
-        late: Duration,
+        request: &FlowRequest,
+        lateness: Duration,
         rate_of: impl Fn(&str) -> Option<StageRate>,
     ) -> Duration {
-        let mut back = now + late.min(MAX_RETRY_AFTER);
-        for stage in need.stages.iter().filter(|stage| stage.pieces > 0) {
+        let mut retry_at = now + lateness.min(MAX_RETRY_AFTER);
+        for stage in request.stages.iter().filter(|stage| stage.pieces > 0) {
             let Some(rate) = rate_of(&stage.service) else {
                 continue;
             };
             let service = self.services.entry(stage.service.clone()).or_default();
-            back = back.max(service.next_return);
-            let span = f64::from(stage.pieces) / service.rate(rate.nominal).max(LEAST_RATE);
-            let next = back + Duration::from_secs_f64(span);
-            service.next_return = next.min(now + MAX_RETRY_AFTER);
+            retry_at = retry_at.max(service.next_retry);
+            let duration = f64::from(stage.pieces) / service.rate(rate.nominal).max(MIN_RATE_RATIO);
+            let next_retry = retry_at + Duration::from_secs_f64(duration);
+            service.next_retry = next_retry.min(now + MAX_RETRY_AFTER);
         }
-        back.saturating_sub(now).min(MAX_RETRY_AFTER)
+        retry_at.saturating_sub(now).min(MAX_RETRY_AFTER)
     }
 
-    /// Notes that a stage of a request is done.
+    /// Records that a stage of a request is done.
     pub fn record_stage_done(&mut self, ticket: FlowTicket, stage: usize) {
         let Some(run) = self.runs.get_mut(&ticket) else {
             return;
         };
-        let Some(done) = run.open.get_mut(stage).and_then(Option::take) else {
+        let Some(done) = run.open_stages.get_mut(stage).and_then(Option::take) else {
             return;
         };
         if let Some(service) = self.services.get_mut(&done.service) {
-            service.take(run.ranks, &done);
-            service.window_done += u64::from(done.pieces);
+            service.remove_stage(run.ranks, &done);
+            service.window_finished += u64::from(done.pieces);
         }
-        for next in run.open.iter_mut().flatten() {
-            let waited = next.inputs.len();
+        for next in run.open_stages.iter_mut().flatten() {
+            let missing_inputs = next.inputs.len();
             next.inputs.retain(|&input| input != stage);
-            if waited > 0 && next.inputs.is_empty() {
+            if missing_inputs > 0 && next.inputs.is_empty() {
                 if let Some(service) = self.services.get_mut(&next.service) {
                     service.ready += u64::from(next.pieces);
                 }
@@ -246,50 +250,54 @@
         }
     }
 
-    /// Notes that a request needs nothing more of any stage.
+    /// Records that a request needs no further work from any stage.
     pub fn record_end(&mut self, ticket: FlowTicket) {
         let Some(run) = self.runs.remove(&ticket) else {
             return;
         };
-        for stage in run.open.into_iter().flatten() {
+        for stage in run.open_stages.into_iter().flatten() {
             if let Some(service) = self.services.get_mut(&stage.service) {
-                service.take(run.ranks, &stage);
+                service.remove_stage(run.ranks, &stage);
             }
         }
     }
 
-    /// Returns how many admitted requests whose stages are not done go before one with such ranks.
+    /// Returns the number of admitted requests with unfinished stages that go before one of these
+    /// ranks.
     pub fn admitted_before(&self, ranks: Ranks) -> usize {
         let runs = self.runs.values();
         runs.filter(|run| run.ranks <= ranks).count()
     }
 
-    /// Returns the pieces that are still to be made by a service.
+    /// Returns the number of pieces that a service still has to process.
     pub fn backlog(&self, service: &str) -> u64 {
-        self.services.get(service).map_or(0, FlowService::all)
+        self.services
+            .get(service)
+            .map_or(0, FlowService::total_backlog)
     }
 
-    /// Forgets requests whose node did not tell their end.
-    fn forget_late(&mut self, now: Moment) {
-        let late = self.runs.iter().filter(|(_, run)| run.forget_at <= now);
-        let late: Vec<FlowTicket> = late.map(|(ticket, _)| *ticket).collect();
-        for ticket in late {
+    /// Removes requests whose node did not report their end.
+    fn remove_expired(&mut self, now: Moment) {
+        let expired = self.runs.iter().filter(|(_, run)| run.expires_at <= now);
+        let expired: Vec<FlowTicket> = expired.map(|(ticket, _)| *ticket).collect();
+        for ticket in expired {
             self.record_end(ticket);
         }
     }
 }
 
-/// Adds up when stages end, in their order: each is its wait, its own span and its inputs, `None` for
-/// one that is done or left out. What is ahead is worked on while the stages before run.
+/// Computes the ends of stages in order. Each stage is given by its wait, its own duration and its
+/// inputs, or `None` if it is done or skipped. The pieces ahead are processed while earlier stages
+/// run.
 fn forecast_stages<'a>(
     stages: impl Iterator<Item = Option<(Duration, Duration, &'a [usize])>>,
 ) -> FlowForecast {
     let mut ends: Vec<Duration> = Vec::new();
     for stage in stages {
-        let end = stage.map(|(wait, span, inputs)| {
+        let end = stage.map(|(wait, duration, inputs)| {
             let inputs = inputs.iter().filter_map(|&input| ends.get(input));
-            let begin = inputs.max().copied().unwrap_or(Duration::ZERO);
-            begin.max(wait) + span
+            let start = inputs.max().copied().unwrap_or(Duration::ZERO);
+            start.max(wait) + duration
         });
         ends.push(end.unwrap_or(Duration::ZERO));
     }
--- a/packages/turnford-policy/src/route/gate.rs
+++ b/packages/turnford-policy/src/route/gate.rs
@@ -1,93 +1,97 @@
-//! Whether one target takes calls of this node, by what it said of itself in its answers.
+//! Whether a target takes calls of this node, according to its answers.
 
 use std::time::Duration;
 
 use crate::Moment;
 
-/// Time after which a target that said that it leaves, and is listed as ready all the same, is asked
-/// whether it stays. One that leaves has its entry say so, or go, within seconds of the store's answers;
-/// what is left may have changed its mind.
-const ASK_PAUSE: Duration = Duration::from_secs(10);
+/// Interval of probes to a target that announced that it is leaving but is still listed as ready.
+/// The store entry of one that leaves says so, or is removed, within seconds, so a longer mismatch
+/// may mean that the target stays.
+const PROBE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Part of that time by which a node asks later at most, each by its own: all heard of the word within
-/// milliseconds, and the questions of a large fleet in one second would take a small target's places.
-const ASK_SPREAD: f64 = 0.6;
+/// Maximum jitter of the probe interval, as a fraction of it. All nodes learn of the announcement
+/// within milliseconds, and simultaneous probes of a large fleet would fill a small target.
+const PROBE_JITTER: f64 = 0.6;
 
-/// Calls that a target may have under way when its rest is over. Each good answer lets in one more, so
-/// that they double with each round: all that waited at once would bring the next rest.
-const FIRST_CALLS: u32 = 1;
+/// Concurrent calls allowed after a backoff ends. Each success allows one more, so the limit
+/// doubles with each round. Sending all waiting calls at once would cause the next backoff.
+const INITIAL_CALL_LIMIT: u32 = 1;
 
-/// What a target said of itself, and what follows for the calls of this node.
+/// State that a target announced, and the resulting limit on this node's calls.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TargetGate {
-    /// When it said last that it leaves, or was asked in vain whether it stays.
-    left_at: Option<Moment>,
-    /// Until when it wants nothing of this node.
-    rests_until: Moment,
-    /// Until when it wants nothing of the node that gathers for it, as that one told.
-    told_until: Moment,
-    /// Calls that it may have under way since its rest ended; `None` for any number.
+    /// When the target last announced that it is leaving, or was last probed without an answer that
+    /// it stays.
+    last_leaving_at: Option<Moment>,
+    /// End of the backoff for this node.
+    backoff_until: Moment,
+    /// End of the backoff for the node that batches its calls, as reported by that node.
+    batcher_backoff_until: Moment,
+    /// Limit on concurrent calls after a backoff. `None` for no limit.
     call_limit: Option<u32>,
 }
 
 impl TargetGate {
-    /// Notes that it said that it leaves; true if that is new.
-    pub(super) fn note_leaving(&mut self, now: Moment) -> bool {
-        self.left_at.replace(now).is_none()
+    /// Records that the target is leaving. Returns true if this was not known.
+    pub(super) fn record_leaving(&mut self, now: Moment) -> bool {
+        self.last_leaving_at.replace(now).is_none()
     }
 
-    /// Notes that it said that it stays.
-    pub(super) fn note_staying(&mut self) {
-        self.left_at = None;
+    /// Records that the target is active again.
+    pub(super) fn record_active(&mut self) {
+        self.last_leaving_at = None;
     }
 
-    /// Tells whether it said that it leaves.
-    pub(super) fn leaves(&self) -> bool {
-        self.left_at.is_some()
+    /// Returns whether the target announced that it is leaving.
+    pub(super) fn is_leaving(&self) -> bool {
+        self.last_leaving_at.is_some()
     }
 
-    /// Tells whether it is time to ask it whether it stays; `later` is this node's own part of the time, from
-    /// 0 to 1, by which nodes ask one after the other.
-    pub(super) fn is_ask_due(&self, now: Moment, later: f64) -> bool {
-        let left_at = self.left_at.filter(|_| !self.rests(now));
-        left_at
-            .is_some_and(|at| now.saturating_sub(at) >= ASK_PAUSE.mul_f64(1.0 + ASK_SPREAD * later))
+    /// Returns whether the target should be probed. `jitter` is a fixed number of this node from 0
+    /// to 1 that spreads the probes of all nodes.
+    pub(super) fn is_probe_due(&self, now: Moment, jitter: f64) -> bool {
+        let leaving_at = self.last_leaving_at.filter(|_| !self.is_backing_off(now));
+        leaving_at.is_some_and(|at| {
+            now.saturating_sub(at) >= PROBE_INTERVAL.mul_f64(1.0 + PROBE_JITTER * jitter)
+        })
     }
 
-    /// Notes that it wants nothing of this node for so long. A shorter word does not shorten the rest.
-    pub(super) fn note_rest(&mut self, now: Moment, span: Duration) {
-        self.rests_until = self.rests_until.max(now.saturating_add(span));
-        self.call_limit = Some(FIRST_CALLS);
+    /// Records that the target asked this node to back off. A shorter backoff does not cut the
+    /// current one.
+    pub(super) fn record_backoff(&mut self, now: Moment, duration: Duration) {
+        self.backoff_until = self.backoff_until.max(now.saturating_add(duration));
+        self.call_limit = Some(INITIAL_CALL_LIMIT);
     }
 
-    /// Notes that it wants nothing of the node that gathers for it for so long.
-    pub(super) fn note_told_rest(&mut self, now: Moment, span: Duration) {
-        self.told_until = self.told_until.max(now.saturating_add(span));
+    /// Records that the target asked the node that batches its calls to back off.
+    pub(super) fn record_batcher_backoff(&mut self, now: Moment, duration: Duration) {
+        self.batcher_backoff_until = self.batcher_backoff_until.max(now.saturating_add(duration));
     }
 
-    /// Returns until when it rests towards this node, or the one that gathers for it.
-    pub(super) fn any_rest_until(&self) -> Moment {
-        self.rests_until.max(self.told_until)
+    /// Returns when the backoff for this node or for the node that batches calls ends, whichever is
+    /// later.
+    pub(super) fn any_backoff_until(&self) -> Moment {
+        self.backoff_until.max(self.batcher_backoff_until)
     }
 
-    /// Tells whether it rests.
-    pub(super) fn rests(&self, now: Moment) -> bool {
-        now < self.rests_until
+    /// Returns whether this node has to back off.
+    pub(super) fn is_backing_off(&self, now: Moment) -> bool {
+        now < self.backoff_until
     }
 
-    /// Returns when its rest ends, a moment that is past if it has.
-    pub(super) fn rests_until(&self) -> Moment {
-        self.rests_until
+    /// Returns when the backoff for this node ends. The moment is in the past if it has ended.
+    pub(super) fn backoff_until(&self) -> Moment {
+        self.backoff_until
     }
 
-    /// Tells whether it takes so many calls at once.
-    pub(super) fn has_room(&self, now: Moment, calls: u32) -> bool {
-        !self.rests(now) && self.call_limit.is_none_or(|limit| calls <= limit)
+    /// Returns whether the target takes this number of concurrent calls.
+    pub(super) fn allows(&self, now: Moment, calls: u32) -> bool {
+        !self.is_backing_off(now) && self.call_limit.is_none_or(|limit| calls <= limit)
     }
 
-    /// Notes a good answer of a target with so many places.
-    pub(super) fn note_success(&mut self, now: Moment, slots: u32) {
-        if self.rests(now) {
+    /// Records a successful answer of a target with this number of slots.
+    pub(super) fn record_success(&mut self, now: Moment, slots: u32) {
+        if self.is_backing_off(now) {
             return;
         }
         let limit = self.call_limit.map(|limit| limit.saturating_add(1));
--- a/packages/turnford-policy/src/route/graph.rs
+++ b/packages/turnford-policy/src/route/graph.rs
@@ -1,14 +1,14 @@
-//! The order of a request's stages.
+//! Dependency graph of a request's stages.
 
 use super::StageSpec;
 
-/// Stages of a route as one request runs them. Those without pieces are left out; what comes after
-/// them gets no results from them.
+/// Stages of a route as run by one request. Stages without pieces are skipped, and stages after
+/// them get no results from them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StageGraph {
     counts: Vec<u32>,
     inputs: Vec<Vec<usize>>,
-    last: Vec<usize>,
+    sinks: Vec<usize>,
 }
 
 impl StageGraph {
@@ -23,20 +23,20 @@
             needed.dedup();
             inputs.push(needed);
         }
-        let last = last_stages(&counts, &inputs);
+        let sinks = find_sinks(&counts, &inputs);
         Self {
             counts,
             inputs,
-            last,
+            sinks,
         }
     }
 
-    /// Returns the number of stages, those left out among them.
+    /// Returns the number of stages, including skipped ones.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Tells whether nothing has to run before the request itself.
+    /// Returns whether no stage has to run before the request itself.
     pub fn is_empty(&self) -> bool {
         self.counts.iter().all(|&count| count == 0)
     }
@@ -51,25 +51,26 @@
         &self.inputs[stage]
     }
 
-    /// Returns the stages whose results no other stage needs, which the request itself needs.
+    /// Returns the stages whose results no other stage needs. They are the inputs of the request
+    /// itself.
     pub fn sinks(&self) -> &[usize] {
-        &self.last
+        &self.sinks
     }
 
-    /// Returns the stages that a stage's results go to.
+    /// Returns the stages that need a stage's results.
     pub fn dependents(&self, stage: usize) -> impl Iterator<Item = usize> + '_ {
         let stages = 0..self.counts.len();
         stages.filter(move |&other| self.counts[other] > 0 && self.inputs[other].contains(&stage))
     }
 }
 
-fn last_stages(counts: &[u32], inputs: &[Vec<usize>]) -> Vec<usize> {
+fn find_sinks(counts: &[u32], inputs: &[Vec<usize>]) -> Vec<usize> {
     let runs = |stage: &usize| counts[*stage] > 0;
-    let mut last: Vec<usize> = (0..counts.len()).filter(runs).collect();
+    let mut sinks: Vec<usize> = (0..counts.len()).filter(runs).collect();
     for (stage, needed) in inputs.iter().enumerate() {
         if counts[stage] > 0 {
-            last.retain(|other| !needed.contains(other));
+            sinks.retain(|other| !needed.contains(other));
         }
     }
-    last
+    sinks
 }
--- a/packages/turnford-policy/src/route/limit_signal.rs
+++ b/packages/turnford-policy/src/route/limit_signal.rs
@@ -1,21 +1,21 @@
-//! What a target's answer says of the calls that it takes from all nodes together.
+//! Rate limit named in a target's answer.
 
 use std::fmt;
 
-/// Calls a second.
+/// Calls per second.
 pub type CallRate = f64;
 
-/// What a target's answer says of its limit.
+/// Rate limit named in a target's answer, for the calls of all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitSignal {
-    /// It names none.
+    /// No limit is named.
     Unlimited,
-    /// Calls a second that it takes from all nodes together.
+    /// Maximum number of calls per second.
     Rate(CallRate),
 }
 
 impl LimitSignal {
-    /// Returns the rate that it names, `None` if it names none.
+    /// Returns the named rate, or `None` without a limit.
     pub fn rate(self) -> Option<CallRate> {
         match self {
             LimitSignal::Unlimited => None,
@@ -23,9 +23,9 @@
         }
     }
 
-    /// Tells whether it lets fewer calls pass than another word.
+    /// Returns whether this limit allows fewer calls than another one.
     pub fn is_stricter(self, other: Self) -> bool {
-        let rate = |word: Self| word.rate().unwrap_or(CallRate::INFINITY);
+        let rate = |signal: Self| signal.rate().unwrap_or(CallRate::INFINITY);
         rate(self) < rate(other)
     }
 }
--- a/packages/turnford-policy/src/route/limit_table.rs
+++ b/packages/turnford-policy/src/route/limit_table.rs
@@ -1,4 +1,4 @@
-//! The limits of one service's targets, as one node knows them.
+//! Limits of one service's targets as known to one node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,163 +12,172 @@
 use super::ProcessStart;
 use super::TargetTable;
 
-/// Time for which a target's limit is remembered while its entry is missing: it may have lapsed, and a
-/// limit does not end with an entry.
-const MISSING_SPAN: Duration = Duration::from_secs(60);
+/// Time for which a target's limit is kept while its store entry is missing. The entry may have
+/// lapsed, which does not end the limit.
+const MISSING_ENTRY_TTL: Duration = Duration::from_secs(60);
 
-/// The limits of one service's targets. A target without one has no place here.
+/// Limits of one service's targets. Targets that never named a limit are absent.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable {
     views: BTreeMap<TargetId, LimitView>,
-    /// Starts of the processes that the targets' entries tell.
-    births: BTreeMap<TargetId, ProcessStart>,
-    /// Since when targets' entries are missing.
+    /// Process starts according to the targets' store entries.
+    process_starts: BTreeMap<TargetId, ProcessStart>,
+    /// Since when the store entries of targets are missing.
     missing: BTreeMap<TargetId, Moment>,
 }
 
 impl LimitTable {
-    /// Forgets the limits of targets that are gone, and of those that started again.
-    pub fn retain_listed(&mut self, now: Moment, board: &TargetTable) {
-        let listed = board.all_targets();
-        self.births = listed
+    /// Removes the limits of targets that are no longer listed or whose process restarted.
+    pub fn retain_listed(&mut self, now: Moment, table: &TargetTable) {
+        let listed = table.all_targets();
+        self.process_starts = listed
             .map(|target| (target.id.clone(), target.process_start))
             .collect();
         let missing = &mut self.missing;
-        self.views.retain(|id, view| match board.get(id) {
+        self.views.retain(|id, view| match table.get(id) {
             Some(target) => {
                 missing.remove(id);
-                target.process_start == view.born
+                target.process_start == view.process_start
             }
             None => {
                 let since = *missing.entry(id.clone()).or_insert(now);
-                now.saturating_sub(since) < MISSING_SPAN
+                now.saturating_sub(since) < MISSING_ENTRY_TTL
             }
         });
         let views = &self.views;
         missing.retain(|id, _| views.contains_key(id));
     }
 
-    /// Takes what an answer to this node said of a target's limit; returns what held before if the node that
-    /// divides should know it.
+    /// Records the limit that a target's answer to this node named. Returns the previous state if
+    /// the allocator should be informed.
     pub fn observe(
         &mut self,
         id: &TargetId,
-        born: ProcessStart,
-        heard: LimitObservation,
+        process_start: ProcessStart,
+        observation: LimitObservation,
     ) -> Option<LimitState> {
         let is_known = self.views.contains_key(id);
-        if self.is_other(id, born) || (!is_known && heard.signal.rate().is_none()) {
+        if self.is_other_process(id, process_start)
+            || (!is_known && observation.signal.rate().is_none())
+        {
             return None;
         }
-        let view = self.view(id, born);
+        let view = self.view_mut(id, process_start);
         let before = view.state;
-        view.hear(heard).then_some(before)
+        view.observe(observation).then_some(before)
     }
 
-    /// Takes what the node that divides says of a target's limit; true if it is new.
+    /// Applies the state of a target's limit announced by the allocator. Returns true if it is new.
     pub fn apply(
         &mut self,
         now: Moment,
         id: &TargetId,
-        born: ProcessStart,
+        process_start: ProcessStart,
         sequence: u64,
         state: LimitState,
     ) -> bool {
-        if self.is_other(id, born) {
+        if self.is_other_process(id, process_start) {
             return false;
         }
-        let view = self.view(id, born);
+        let view = self.view_mut(id, process_start);
         if view.sequence >= sequence {
             return false;
         }
-        view.set(now, sequence, state);
+        view.apply(now, sequence, state);
         true
     }
 
-    /// Tells whether another process runs under a target's id by now.
-    fn is_other(&self, id: &str, born: ProcessStart) -> bool {
-        self.births.get(id).is_some_and(|listed| *listed != born)
+    /// Returns whether the target's id now belongs to another process.
+    fn is_other_process(&self, id: &str, process_start: ProcessStart) -> bool {
+        self.process_starts
+            .get(id)
+            .is_some_and(|listed| *listed != process_start)
     }
 
-    fn view(&mut self, id: &TargetId, born: ProcessStart) -> &mut LimitView {
+    fn view_mut(&mut self, id: &TargetId, process_start: ProcessStart) -> &mut LimitView {
         let view = self.views.entry(id.clone());
-        let view = view.or_insert_with(|| LimitView::new(born));
-        if view.born != born {
-            *view = LimitView::new(born);
+        let view = view.or_insert_with(|| LimitView::new(process_start));
+        if view.process_start != process_start {
+            *view = LimitView::new(process_start);
         }
         view
     }
 
-    /// Notes that another node divides from now on, whose words are numbered anew.
+    /// Resets the sequence numbers, since a new allocator starts its own.
     pub fn reset_sequences(&mut self) {
         for view in self.views.values_mut() {
             view.sequence = 0;
         }
     }
 
-    /// Tells whether a target's process ever named a limit, as far as this node knows.
-    pub fn is_known(&self, id: &str, born: ProcessStart) -> bool {
-        self.views.get(id).is_some_and(|view| view.born == born)
+    /// Returns whether a target's process has named a limit, as far as this node knows.
+    pub fn is_known(&self, id: &str, process_start: ProcessStart) -> bool {
+        self.views
+            .get(id)
+            .is_some_and(|view| view.process_start == process_start)
     }
 
-    /// Returns what holds of a target's limit.
+    /// Returns the state of a target's limit.
     pub fn state(&self, id: &str) -> LimitState {
         self.views
             .get(id)
             .map_or(LimitState::Free, |view| view.state)
     }
 
-    /// Returns what a target's limit follows from, where an answer or another node told of one.
+    /// Returns the observation that a target's state is based on, if there is one.
     pub fn observation(&self, id: &str) -> Option<LimitObservation> {
-        self.views.get(id)?.heard
+        self.views.get(id)?.observation
     }
 
     /// Returns the targets whose calls need permits.
     pub fn limited(&self) -> impl Iterator<Item = (&TargetId, ProcessStart, LimitState)> {
         let views = self.views.iter();
         let limited = views.filter(|(_, view)| view.state.needs_permit());
-        limited.map(|(id, view)| (id, view.born, view.state))
+        limited.map(|(id, view)| (id, view.process_start, view.state))
     }
 
-    /// Returns what the node that divides said last of each target, with the number of its word.
+    /// Returns the latest state of each target announced by the allocator, with its sequence
+    /// number.
     pub fn announced(&self) -> impl Iterator<Item = (&TargetId, ProcessStart, u64, LimitState)> {
         let views = self.views.iter();
-        let told = views.filter(|(_, view)| view.sequence > 0);
-        told.map(|(id, view)| (id, view.born, view.sequence, view.state))
+        let announced = views.filter(|(_, view)| view.sequence > 0);
+        announced.map(|(id, view)| (id, view.process_start, view.sequence, view.state))
     }
 
-    /// Tells whether calls to any target need permits.
+    /// Returns whether calls to any target need permits.
     pub fn has_limits(&self) -> bool {
         self.limited().next().is_some()
     }
 
-    /// Takes a permit for a call to a target, which holds until a moment.
+    /// Adds a permit for a call to a target that is valid until a moment.
     pub fn add_permit(&mut self, id: &str, until: Moment) {
         if let Some(view) = self.views.get_mut(id) {
             view.add_permit(until);
         }
     }
 
-    /// Notes that there is no permit for a target until a moment.
+    /// Records that there is no permit for a target until a moment.
     pub fn record_denial(&mut self, id: &str, until: Moment) {
         if let Some(view) = self.views.get_mut(id) {
-            view.note_denied(until);
+            view.record_denial(until);
         }
     }
 
-    /// Tells whether a target's limit lets a call of this node through now.
+    /// Returns whether a target's limit allows a call of this node now.
     pub fn is_open(&self, now: Moment, id: &str) -> bool {
         self.views.get(id).is_none_or(|view| view.is_open(now))
     }
 
-    /// Tells whether a target's limit may let a call through: it is open, or a permit can be asked for.
+    /// Returns whether a target's limit allows a call, or a permit can be requested.
     pub fn may_open(&self, now: Moment, id: &str) -> bool {
         let view = self.views.get(id);
-        view.is_none_or(|view| view.is_open(now) || view.may_ask(now))
+        view.is_none_or(|view| view.is_open(now) || view.can_request(now))
     }
 
-    /// Lets a call of this node through a target's limit, and uses up its permit; false if there is none.
+    /// Uses up a permit for a call to a target if one is needed. Returns false if there is none.
     pub fn try_acquire(&mut self, now: Moment, id: &str) -> bool {
-        self.views.get_mut(id).is_none_or(|view| view.enter(now))
+        self.views
+            .get_mut(id)
+            .is_none_or(|view| view.try_acquire(now))
     }
 }
--- a/packages/turnford-policy/src/route/limit_view.rs
+++ b/packages/turnford-policy/src/route/limit_view.rs
@@ -1,4 +1,4 @@
-//! A target's limit for all nodes together, as one node knows it: whether a call may go there now.
+//! Limit of one target, shared by all nodes, as known to one node.
 
 use crate::Moment;
 
@@ -6,115 +6,117 @@
 use super::LimitSignal;
 use super::ProcessStart;
 
-/// What holds of a target's limit now, as the node that divides it says.
+/// State of a target's limit as announced by the allocator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, bincode::Encode, bincode::Decode)]
 pub enum LimitState {
     /// Calls need no permit.
     #[default]
     Free,
-    /// It takes so many calls a second from all nodes together.
+    /// The target takes this number of calls per second from all nodes together.
     Limited(CallRate),
-    /// It names no limit any more, and gets more calls by degrees.
+    /// The target no longer names a limit, and its rate is raised gradually.
     Easing,
 }
 
 impl LimitState {
-    /// Tells whether each call needs a permit.
+    /// Returns whether each call needs a permit.
     pub fn needs_permit(self) -> bool {
         self != LimitState::Free
     }
 
-    /// Tells whether a target's word is what this state follows from.
-    pub fn matches(self, word: LimitSignal) -> bool {
+    /// Returns whether this state follows from a target's signal.
+    pub fn matches(self, signal: LimitSignal) -> bool {
         match self {
-            LimitState::Limited(rate) => word == LimitSignal::Rate(rate),
-            LimitState::Free | LimitState::Easing => word == LimitSignal::Unlimited,
+            LimitState::Limited(rate) => signal == LimitSignal::Rate(rate),
+            LimitState::Free | LimitState::Easing => signal == LimitSignal::Unlimited,
         }
     }
 }
 
-/// What a target said, and between which moments. Answers overtake each other: of two words the newer is
-/// known only where one was asked for after the other had come.
+/// A target's limit signal and the interval in which it was given. Answers may overtake each other:
+/// one signal is known to be newer only if its call was sent after the answer with the other was
+/// received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitObservation {
-    /// The word.
+    /// Limit named in the answer.
     pub signal: LimitSignal,
-    /// When the call was sent whose answer it stood in.
+    /// When the call was sent.
     pub sent_at: Moment,
-    /// When the answer came.
+    /// When its answer was received.
     pub received_at: Moment,
 }
 
-/// A target's limit as one node knows it.
+/// A target's limit as known to one node.
 #[derive(Clone, Debug)]
 pub(super) struct LimitView {
     /// Start of the target's process.
-    pub(super) born: ProcessStart,
+    pub(super) process_start: ProcessStart,
     pub(super) state: LimitState,
-    /// What the state follows from.
-    pub(super) heard: Option<LimitObservation>,
-    /// Number of the divider's word that the state is.
+    /// Observation that the state is based on.
+    pub(super) observation: Option<LimitObservation>,
+    /// Sequence number of the allocator's announcement that set the state.
     pub(super) sequence: u64,
-    /// Until when the permits hold that this node has and did not use.
+    /// Expiry of each unused permit of this node.
     permits: Vec<Moment>,
-    /// Until when there is no permit for this node.
+    /// End of the time in which no permit is available to this node.
     denied_until: Moment,
 }
 
 impl LimitView {
-    pub(super) fn new(born: ProcessStart) -> Self {
+    pub(super) fn new(process_start: ProcessStart) -> Self {
         Self {
-            born,
+            process_start,
             state: LimitState::Free,
-            heard: None,
+            observation: None,
             sequence: 0,
             permits: Vec::new(),
             denied_until: Moment::ZERO,
         }
     }
 
-    /// Takes what an answer to this node said; true if the node that divides should know it.
-    pub(super) fn hear(&mut self, heard: LimitObservation) -> bool {
-        if self.state.matches(heard.signal) {
+    /// Records the signal of an answer to this node. Returns true if the allocator should be
+    /// informed.
+    pub(super) fn observe(&mut self, observation: LimitObservation) -> bool {
+        if self.state.matches(observation.signal) {
             if self.state.needs_permit() {
-                self.heard = Some(heard);
+                self.observation = Some(observation);
             }
             return false;
         }
-        self.heard = Some(heard);
-        if let (LimitState::Free, LimitSignal::Rate(rate)) = (self.state, heard.signal) {
-            // Nothing more is sent without a permit, whoever divides knows of it or not.
+        self.observation = Some(observation);
+        if let (LimitState::Free, LimitSignal::Rate(rate)) = (self.state, observation.signal) {
+            // Further calls need a permit even before the allocator knows of the limit.
             self.state = LimitState::Limited(rate);
         }
         true
     }
 
-    /// Takes the divider's word.
-    pub(super) fn set(&mut self, now: Moment, sequence: u64, state: LimitState) {
+    /// Applies a state announced by the allocator.
+    pub(super) fn apply(&mut self, now: Moment, sequence: u64, state: LimitState) {
         self.sequence = sequence;
         if self.state == state {
             return;
         }
         self.state = state;
         self.denied_until = now;
-        let word = match state {
+        let signal = match state {
             LimitState::Limited(rate) => LimitSignal::Rate(rate),
             LimitState::Free | LimitState::Easing => LimitSignal::Unlimited,
         };
-        self.heard = Some(LimitObservation {
-            signal: word,
+        self.observation = Some(LimitObservation {
+            signal,
             sent_at: now,
             received_at: now,
         });
     }
 
-    /// Tells whether a call may go there now.
+    /// Returns whether a call is allowed now.
     pub(super) fn is_open(&self, now: Moment) -> bool {
         !self.state.needs_permit() || self.permits.iter().any(|until| now < *until)
     }
 
-    /// Lets a call go there, and uses up its permit; false if there is none.
-    pub(super) fn enter(&mut self, now: Moment) -> bool {
+    /// Uses up a permit for a call if one is needed. Returns false if there is none.
+    pub(super) fn try_acquire(&mut self, now: Moment) -> bool {
         self.permits.retain(|until| now < *until);
         if !self.state.needs_permit() {
             return true;
@@ -126,18 +128,18 @@
         true
     }
 
-    /// Takes a permit that holds until a moment.
+    /// Adds a permit that is valid until a moment.
     pub(super) fn add_permit(&mut self, until: Moment) {
         self.permits.push(until);
     }
 
-    /// Notes that there is no permit until a moment.
-    pub(super) fn note_denied(&mut self, until: Moment) {
+    /// Records that no permit is available until a moment.
+    pub(super) fn record_denial(&mut self, until: Moment) {
         self.denied_until = until;
     }
 
-    /// Tells whether there may be a permit.
-    pub(super) fn may_ask(&self, now: Moment) -> bool {
+    /// Returns whether a permit can be requested.
+    pub(super) fn can_request(&self, now: Moment) -> bool {
         self.denied_until <= now
     }
 }
--- a/packages/turnford-policy/src/route/list.rs
+++ b/packages/turnford-policy/src/route/list.rs
@@ -1,5 +1,4 @@
-//! The targets as they list themselves in the platform's store, and what changed among them since
-//! another node asked last.
+//! The targets listed in the platform's store, and their changes since another node last asked.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,101 +8,104 @@
 use crate::Moment;
 use crate::TargetId;
 
-use super::ended_log::GoneLog;
+use super::ended_log::EndedLog;
 use super::target_update::ExpiredTargets;
 use super::target_update::ListedTarget;
 use super::target_update::TargetUpdate;
 use super::StorePosition;
 use super::TargetSpec;
 
-/// Time after the store's return in which targets whose entries lapsed meanwhile write them anew.
-/// The platform's targets do so within about two seconds.
-const RETURN_SPAN: Duration = Duration::from_millis(2200);
+/// Time after the store's recovery within which targets rewrite entries that lapsed during the
+/// outage. The platform's targets need about two seconds.
+const LAPSE_GRACE: Duration = Duration::from_millis(2200);
 
-/// Least time that the store is away for entries to lapse: three missed heartbeats make one lapse,
-/// the last of which may have been before.
-const LAPSE_SPAN: Duration = Duration::from_millis(1500);
+/// Minimum outage of the store in which entries can lapse. An entry lapses after three missed
+/// heartbeats, the last of which may have been due shortly before the outage.
+const MIN_LAPSE_OUTAGE: Duration = Duration::from_millis(1500);
 
-/// Time after the store came back from a copy in which entries of targets that were gone before don't
-/// count: one whose target does not live lapses after three missed heartbeats of some 1.2 s.
-const DOUBT_SPAN: Duration = Duration::from_secs(5);
+/// Time after the store was restored from a backup during which restored entries of targets that
+/// had ended don't count. The entry of a target that is not alive lapses after three missed
+/// heartbeats of about 1.2 s.
+const QUARANTINE_TIME: Duration = Duration::from_secs(5);
 
-/// Changes that are remembered for nodes that ask what is new. One that missed more gets the whole
+/// Number of changes kept for nodes that ask for updates. A node that missed more gets the whole
 /// list.
-const CHANGE_LIMIT: usize = 512;
+const MAX_CHANGES: usize = 512;
 
-/// Number of a change; it rises with each within one process.
+/// Number of a change, increasing within a process.
 pub type ChangeNumber = u64;
 
 /// The targets of all services.
 #[derive(Clone, Debug, Default)]
 pub struct TargetList {
     targets: BTreeMap<TargetId, TargetSpec>,
-    /// Targets whose entries were missing after the store's return, and when they count as gone.
+    /// Targets whose entries were missing after the store's recovery, and when they count as
+    /// removed.
     lapsed: BTreeMap<TargetId, Moment>,
-    /// When the store was lost, `None` while it answers.
-    lost_at: Option<Moment>,
-    /// Until when a missing entry may only have lapsed.
-    returning_until: Moment,
-    /// Place in the store's history up to which changes are known.
-    place: StorePosition,
-    /// Place that was known when a target changed last.
+    /// Start of the store's outage. `None` while the store answers.
+    store_lost_at: Option<Moment>,
+    /// End of the time in which a missing entry may have lapsed during an outage.
+    grace_until: Moment,
+    /// Store position up to which changes are known.
+    position: StorePosition,
+    /// Store position that was known at the last change of a target.
     changed_at: StorePosition,
-    /// Entries that were not written since the store came back from a copy, as it has them.
-    copied: BTreeMap<TargetId, TargetSpec>,
-    /// Processes that ended.
-    gone: GoneLog,
-    /// Targets of the store's copy that were gone before, and until when they take no new work for that.
-    doubted: BTreeMap<TargetId, Moment>,
-    /// Ids of targets in the order of their changes, the newest last.
+    /// Entries, as restored, that have not been written since the store was restored from a backup.
+    restored: BTreeMap<TargetId, TargetSpec>,
+    /// Processes known to have ended.
+    ended: EndedLog,
+    /// Restored targets that were known to have ended, and until when they get no new work for that
+    /// reason.
+    quarantined: BTreeMap<TargetId, Moment>,
+    /// Ids of changed targets in the order of their changes, the newest last.
     changes: VecDeque<TargetId>,
     /// Number of the newest change.
-    newest: ChangeNumber,
+    last_change: ChangeNumber,
 }
 
 impl TargetList {
-    /// Returns the place in the store's history up to which changes are known.
+    /// Returns the store position up to which changes are known.
     pub fn position(&self) -> StorePosition {
-        self.place
+        self.position
     }
 
-    /// Returns the place that was known when a target changed last. A node that knows the store up
-    /// to this place has missed nothing that this one knows.
+    /// Returns the store position that was known at the last change of a target. A node that knows
+    /// the store up to this position has missed nothing known here.
     pub fn changed_at(&self) -> StorePosition {
         self.changed_at
     }
 
     /// Returns the number of the newest change.
     pub fn newest_change(&self) -> ChangeNumber {
-        self.newest
+        self.last_change
     }
 
-    /// Returns the targets by their ids.
+    /// Returns the targets by id.
     pub fn targets(&self) -> &BTreeMap<TargetId, TargetSpec> {
         &self.targets
     }
 
-    /// Notes that the store does not answer.
+    /// Records that the store does not answer.
     pub fn record_store_lost(&mut self, now: Moment) {
-        self.lost_at.get_or_insert(now);
+        self.store_lost_at.get_or_insert(now);
     }
 
-    /// Notes that the store answers again.
+    /// Records that the store answers again.
     pub fn record_store_recovered(&mut self, now: Moment) {
-        let Some(lost_at) = self.lost_at.take() else {
+        let Some(lost_at) = self.store_lost_at.take() else {
             return;
         };
-        if now.saturating_sub(lost_at) >= LAPSE_SPAN {
-            self.returning_until = now + RETURN_SPAN;
+        if now.saturating_sub(lost_at) >= MIN_LAPSE_OUTAGE {
+            self.grace_until = now + LAPSE_GRACE;
         }
     }
 
-    /// Takes a target's entry as it was written now.
+    /// Inserts a target from an entry that was just written.
     pub fn put(&mut self, target: TargetSpec) {
-        self.doubted.remove(&target.id);
-        self.gone.forget(&target);
-        if self.copied.remove(&target.id).is_some() {
-            self.note_change(target.id.clone());
+        self.quarantined.remove(&target.id);
+        self.ended.remove(&target);
+        if self.restored.remove(&target.id).is_some() {
+            self.record_change(target.id.clone());
         }
         self.insert(target);
     }
@@ -115,111 +117,112 @@
             .as_ref()
             .filter(|old| old.process_start != target.process_start)
         {
-            self.gone.note(old, self.place.era);
+            self.ended.insert(old, self.position.era);
         }
         if was_lapsed || old.as_ref() != Some(&target) {
-            self.note_change(target.id);
+            self.record_change(target.id);
         }
     }
 
-    /// Drops a target whose entry is gone, or waits for its return where that may only have lapsed.
+    /// Removes a target whose entry is missing. If the entry may have lapsed during an outage of
+    /// the store, waits for it to be rewritten first.
     pub fn remove(&mut self, now: Moment, id: &str) {
         let Some(target) = self.targets.get(id) else {
             return;
         };
         let id = target.id.clone();
-        if now < self.returning_until && !target.leaving {
+        if now < self.grace_until && !target.leaving {
             if !self.lapsed.contains_key(&id) {
-                self.lapsed.insert(id.clone(), self.returning_until);
-                self.note_change(id);
+                self.lapsed.insert(id.clone(), self.grace_until);
+                self.record_change(id);
             }
             return;
         }
-        self.drop_target(&id);
+        self.remove_target(&id);
     }
 
-    /// Drops a target whose entry can't be understood.
+    /// Removes a target whose entry can't be decoded.
     pub fn remove_invalid(&mut self, id: &str) {
         if let Some(target) = self.targets.get(id) {
             let id = target.id.clone();
-            self.drop_target(&id);
+            self.remove_target(&id);
         }
     }
 
-    /// Takes all entries as of a place. Where the store came back from a copy, what is missing may be
-    /// written again, and what is there may be older than what is known.
-    pub fn replace_all(&mut self, now: Moment, place: StorePosition, entries: Vec<TargetSpec>) {
-        let is_new_era = self.enter(now, place);
+    /// Replaces the list by all entries at a position. After the store was restored from a backup,
+    /// missing entries may be rewritten, and those present may be older than what is known.
+    pub fn replace_all(&mut self, now: Moment, position: StorePosition, entries: Vec<TargetSpec>) {
+        let is_new_era = self.advance_era(now, position);
         let listed: BTreeSet<&TargetId> = entries.iter().map(|entry| &entry.id).collect();
-        for id in self.ids_beside(&listed) {
+        for id in self.ids_not_in(&listed) {
             self.remove(now, &id);
         }
         for entry in entries {
-            if is_new_era || self.is_older(&entry) {
-                self.take_copied(now, entry);
-            } else if !self.is_still_copied(&entry) {
+            if is_new_era || self.is_outdated(&entry) {
+                self.put_restored(now, entry);
+            } else if !self.is_unchanged_restore(&entry) {
                 self.put(entry);
             }
         }
     }
 
     /// Returns the ids of targets that are not listed.
-    fn ids_beside(&self, listed: &BTreeSet<&TargetId>) -> Vec<TargetId> {
+    fn ids_not_in(&self, listed: &BTreeSet<&TargetId>) -> Vec<TargetId> {
         let known = self.targets.keys();
         known.filter(|id| !listed.contains(id)).cloned().collect()
     }
 
-    /// Goes on to a place; true if it is of another era.
-    fn enter(&mut self, now: Moment, place: StorePosition) -> bool {
-        let is_new_era = place.era > self.place.era;
+    /// Advances to a position. Returns true if it is in a newer era.
+    fn advance_era(&mut self, now: Moment, position: StorePosition) -> bool {
+        let is_new_era = position.era > self.position.era;
         if is_new_era {
-            self.returning_until = now + RETURN_SPAN;
-            self.doubted.clear();
-            self.copied.clear();
+            self.grace_until = now + LAPSE_GRACE;
+            self.quarantined.clear();
+            self.restored.clear();
         }
-        self.advance_to(place);
+        self.advance_to(position);
         is_new_era
     }
 
-    /// Takes an entry of the store's copy. What its target said meanwhile does not go back: that it
-    /// leaves, that it has ended.
-    fn take_copied(&mut self, now: Moment, entry: TargetSpec) {
+    /// Inserts an entry restored from a backup. What was learned since is kept: that its target is
+    /// leaving, or has ended.
+    fn put_restored(&mut self, now: Moment, entry: TargetSpec) {
         let id = entry.id.clone();
         let known = self.targets.get(&id);
         if known.is_some_and(|known| known.process_start > entry.process_start) {
-            // What runs under its id since is missing from the copy.
+            // The newer process of this id is missing from the backup.
             self.remove(now, &id);
             return;
         }
-        let is_gone = self.gone.has(&entry);
-        if self.copied.insert(id.clone(), entry.clone()).is_none() {
-            self.note_change(id.clone());
+        let has_ended = self.ended.contains(&entry);
+        if self.restored.insert(id.clone(), entry.clone()).is_none() {
+            self.record_change(id.clone());
         }
-        if is_gone {
-            self.doubted.entry(id).or_insert(now + DOUBT_SPAN);
+        if has_ended {
+            self.quarantined.entry(id).or_insert(now + QUARANTINE_TIME);
         }
-        let entry = self.keep_words(entry);
+        let entry = self.merge_known(entry);
         self.insert(TargetSpec {
-            leaving: entry.leaving || is_gone,
+            leaving: entry.leaving || has_ended,
             ..entry
         });
     }
 
-    /// Tells whether an entry is of a process that was known to have ended before the store came back from
-    /// a copy.
-    fn is_older(&self, entry: &TargetSpec) -> bool {
+    /// Returns whether an entry belongs to a process that was known to have ended before the store
+    /// was restored from a backup.
+    fn is_outdated(&self, entry: &TargetSpec) -> bool {
         let known = self.targets.get(&entry.id);
         let is_replaced = known.is_some_and(|known| known.process_start > entry.process_start);
-        is_replaced || self.gone.has_before(entry, self.place.era)
+        is_replaced || self.ended.ended_before(entry, self.position.era)
     }
 
-    /// Tells whether an entry was not written since the store came back from a copy. What another node told
-    /// of the copied entry has the word of its target that it leaves in it.
-    fn is_still_copied(&self, entry: &TargetSpec) -> bool {
-        let copied = self.copied.get(&entry.id);
-        copied.is_some_and(|copied| {
-            let leaving = entry.leaving || copied.leaving;
-            *copied
+    /// Returns whether an entry has not been written since the store was restored from a backup. In
+    /// the list of another node, a restored entry may also be marked as leaving.
+    fn is_unchanged_restore(&self, entry: &TargetSpec) -> bool {
+        let restored = self.restored.get(&entry.id);
+        restored.is_some_and(|restored| {
+            let leaving = entry.leaving || restored.leaving;
+            *restored
                 == TargetSpec {
                     leaving,
                     ..entry.clone()
@@ -227,8 +230,8 @@
         })
     }
 
-    /// Returns an entry that may be older than what is known of its process, with that.
-    fn keep_words(&self, entry: TargetSpec) -> TargetSpec {
+    /// Merges an entry that may be outdated with what is known of its process.
+    fn merge_known(&self, entry: TargetSpec) -> TargetSpec {
         let known = self.targets.get(&entry.id);
         let known = known.filter(|known| known.process_start == entry.process_start);
         let Some(known) = known else {
@@ -241,93 +244,101 @@
         }
     }
 
-    /// Notes that changes are known up to a place.
-    pub fn advance_to(&mut self, place: StorePosition) {
-        self.place = self.place.max(place);
+    /// Records that changes are known up to a position.
+    pub fn advance_to(&mut self, position: StorePosition) {
+        self.position = self.position.max(position);
     }
 
-    /// Takes what another node knows up to a place; false if this one knows more, or can't go on from
-    /// its own place.
-    pub fn apply_update(&mut self, now: Moment, place: StorePosition, news: TargetUpdate) -> bool {
-        let is_other_era = place.era != self.place.era;
-        if place < self.place || (is_other_era && !news.is_full) {
+    /// Applies another node's update up to a position. Returns false if this node knows more, or if
+    /// the update doesn't continue from its own position.
+    pub fn apply_update(
+        &mut self,
+        now: Moment,
+        position: StorePosition,
+        update: TargetUpdate,
+    ) -> bool {
+        let is_other_era = position.era != self.position.era;
+        if position < self.position || (is_other_era && !update.is_full) {
             return false;
         }
-        let is_new_era = self.enter(now, place);
-        if news.is_full {
-            let listed = news.listed.iter().map(|listed| &listed.spec.id);
-            for id in self.ids_beside(&listed.collect()) {
+        let is_new_era = self.advance_era(now, position);
+        if update.is_full {
+            let listed = update.listed.iter().map(|listed| &listed.spec.id);
+            for id in self.ids_not_in(&listed.collect()) {
                 if is_new_era {
                     self.remove(now, &id);
                 } else {
-                    self.drop_target(&id);
+                    self.remove_target(&id);
                 }
             }
         }
-        for id in &news.removed {
-            self.drop_target(id);
+        for id in &update.removed {
+            self.remove_target(id);
         }
-        for listed in news.listed {
+        for listed in update.listed {
             match listed.expires_at {
-                Some(gone_at) => self.take_lapsed(now, listed.spec, gone_at),
-                None if listed.is_restored => self.take_copied(now, listed.spec),
+                Some(expires_at) => self.put_lapsed(now, listed.spec, expires_at),
+                None if listed.is_restored => self.put_restored(now, listed.spec),
                 None => self.put(listed.spec),
             }
         }
         true
     }
 
-    /// Takes a target that lapsed at another node, which tells nothing newer of it than this one knows.
-    fn take_lapsed(&mut self, now: Moment, target: TargetSpec, gone_at: Moment) {
+    /// Inserts a target whose entry lapsed according to another node. Newer knowledge of this node
+    /// takes precedence.
+    fn put_lapsed(&mut self, now: Moment, target: TargetSpec, expires_at: Moment) {
         let known = self.targets.get(&target.id);
-        let is_older = known.is_some_and(|known| known.process_start > target.process_start);
-        if is_older || self.gone.has(&target) {
-            // What runs under its id since has no entry there either.
+        let is_outdated = known.is_some_and(|known| known.process_start > target.process_start);
+        if is_outdated || self.ended.contains(&target) {
+            // The newer process of this id has no entry there either.
             self.remove(now, &target.id);
             return;
         }
         let id = target.id.clone();
-        let target = self.keep_words(target);
+        let target = self.merge_known(target);
         self.insert(target);
-        self.lapsed.insert(id, gone_at);
+        self.lapsed.insert(id, expires_at);
     }
 
-    /// Returns what is new since a change, or everything for a node that has never asked.
+    /// Returns the changes since a number, or the whole list for a node that has none or missed too
+    /// many.
     pub fn updates_since(&self, after: Option<ChangeNumber>) -> TargetUpdate {
-        let behind = after.and_then(|after| self.newest.checked_sub(after));
+        let behind = after.and_then(|after| self.last_change.checked_sub(after));
         let behind = behind.and_then(|behind| usize::try_from(behind).ok());
         let Some(behind) = behind.filter(|behind| *behind <= self.changes.len()) else {
             return TargetUpdate {
                 is_full: true,
-                listed: self.targets.keys().map(|id| self.listed(id)).collect(),
+                listed: self.targets.keys().map(|id| self.to_listed(id)).collect(),
                 removed: Vec::new(),
             };
         };
         let mut ids: Vec<&TargetId> = self.changes.iter().rev().take(behind).collect();
         ids.sort_unstable();
         ids.dedup();
-        let (listed, gone): (Vec<&TargetId>, Vec<&TargetId>) = ids
+        let (listed, removed): (Vec<&TargetId>, Vec<&TargetId>) = ids
             .into_iter()
             .partition(|id| self.targets.contains_key(*id));
         TargetUpdate {
             is_full: false,
-            listed: listed.into_iter().map(|id| self.listed(id)).collect(),
-            removed: gone.into_iter().cloned().collect(),
+            listed: listed.into_iter().map(|id| self.to_listed(id)).collect(),
+            removed: removed.into_iter().cloned().collect(),
         }
     }
 
-    /// Drops lapsed targets that did not return, takes those back that live, and returns both.
+    /// Removes lapsed targets whose entries did not return, and reinstates quarantined targets that
+    /// are alive. Returns both.
     pub fn expire(&mut self, now: Moment) -> ExpiredTargets {
         let due = self.lapsed.iter().filter(|(_, until)| **until <= now);
         let removed: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
         for id in &removed {
-            self.drop_target(id);
+            self.remove_target(id);
         }
-        let due = self.doubted.iter().filter(|(_, until)| **until <= now);
+        let due = self.quarantined.iter().filter(|(_, until)| **until <= now);
         let reinstated: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
         let entries = reinstated
             .iter()
-            .filter_map(|id| self.copied.get(id).cloned());
+            .filter_map(|id| self.restored.get(id).cloned());
         let entries: Vec<TargetSpec> = entries.collect();
         for entry in entries {
             self.put(entry);
@@ -338,34 +349,34 @@
         }
     }
 
-    fn listed(&self, id: &TargetId) -> ListedTarget {
-        // Who was not told that it was gone has no reason to doubt it.
-        let copied = self
-            .copied
+    fn to_listed(&self, id: &TargetId) -> ListedTarget {
+        // A node that did not know that the target had ended has no reason to quarantine it.
+        let restored = self
+            .restored
             .get(id)
-            .filter(|_| self.doubted.contains_key(id));
+            .filter(|_| self.quarantined.contains_key(id));
         ListedTarget {
-            spec: copied.unwrap_or(&self.targets[id]).clone(),
+            spec: restored.unwrap_or(&self.targets[id]).clone(),
             expires_at: self.lapsed.get(id).copied(),
-            is_restored: self.copied.contains_key(id),
+            is_restored: self.restored.contains_key(id),
         }
     }
 
-    fn drop_target(&mut self, id: &TargetId) {
+    fn remove_target(&mut self, id: &TargetId) {
         self.lapsed.remove(id);
-        self.copied.remove(id);
-        self.doubted.remove(id);
+        self.restored.remove(id);
+        self.quarantined.remove(id);
         if let Some(target) = self.targets.remove(id) {
-            self.gone.note(&target, self.place.era);
-            self.note_change(id.clone());
+            self.ended.insert(&target, self.position.era);
+            self.record_change(id.clone());
         }
     }
 
-    fn note_change(&mut self, id: TargetId) {
-        self.newest += 1;
-        self.changed_at = self.place;
+    fn record_change(&mut self, id: TargetId) {
+        self.last_change += 1;
+        self.changed_at = self.position;
         self.changes.push_back(id);
-        if self.changes.len() > CHANGE_LIMIT {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
--- a/packages/turnford-policy/src/route/piece_work.rs
+++ b/packages/turnford-policy/src/route/piece_work.rs
@@ -1,4 +1,4 @@
-//! Pieces of stages, and calls made of them.
+//! Pieces of stages, and the calls made of them.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use super::RequestDigest;
 
-/// Number of a piece on the board.
+/// Id of a piece in the scheduler.
 pub type PieceTicket = u64;
 
 /// A piece to run.
@@ -16,46 +16,47 @@
 pub struct PieceWork {
     /// Digest of the request.
     pub digest: RequestDigest,
-    /// Whether targets crashed while they ran such a request; its pieces share a call with no other's.
+    /// Whether targets crashed while running such a request. Its pieces share no call with those of
+    /// other requests.
     pub is_suspect: bool,
-    /// Id of the request's try.
+    /// Id of the request's attempt.
     pub attempt: Arc<str>,
-    /// Stage of the request.
+    /// Index of the stage.
     pub stage: usize,
-    /// Piece of the stage.
+    /// Index of the piece within the stage.
     pub piece: u32,
-    /// What a first stage needs to begin.
+    /// Input of a piece in a first stage.
     pub piece_key: Option<Arc<str>>,
-    /// Results that it needs.
+    /// Results that the piece needs.
     pub inputs: Arc<[String]>,
-    /// When it is no longer wanted.
+    /// When the result is no longer needed.
     pub deadline: Moment,
-    /// When it should be done for the request to be in time.
+    /// When the piece is due for the request to be in time.
     pub due: Moment,
-    /// Ranks of the request, the one of its account before that of its route; 0 goes first.
+    /// Ranks of the account and the route, in order of precedence. Lower ranks go first.
     pub ranks: (ClassRank, ClassRank),
-    /// Size of its result, in bytes.
+    /// Estimated size of the result, in bytes.
     pub result_bytes: u64,
-    /// Hall in which it should run, near what it needs or what needs it.
+    /// Preferred hall, which is close to the inputs or to the consumers of the result.
     pub hall: Option<Arc<str>>,
-    /// Until when it waits for a target in that hall.
+    /// Until when the piece waits for a target in that hall.
     pub hall_deadline: Moment,
 }
 
 impl PieceWork {
-    /// Tells whether a target in a hall may run it now.
-    pub(super) fn suits(&self, now: Moment, hall: &str, is_crowded: bool) -> bool {
-        is_crowded || self.is_near(hall) || self.hall.is_none() || self.hall_deadline <= now
+    /// Returns whether a target in a hall may run the piece now.
+    pub(super) fn can_run_in(&self, now: Moment, hall: &str, is_backlogged: bool) -> bool {
+        is_backlogged || self.is_local(hall) || self.hall.is_none() || self.hall_deadline <= now
     }
 
-    /// Tells whether it may share a call with another piece.
-    pub(super) fn may_share(&self, other: &PieceWork) -> bool {
-        let is_sound = !self.is_suspect && !other.is_suspect;
-        is_sound || self.digest == other.digest
+    /// Returns whether the piece may share a call with another one.
+    pub(super) fn can_share_batch(&self, other: &PieceWork) -> bool {
+        let is_harmless = !self.is_suspect && !other.is_suspect;
+        is_harmless || self.digest == other.digest
     }
 
-    /// Tells whether it should run in a hall.
-    pub(super) fn is_near(&self, hall: &str) -> bool {
+    /// Returns whether a hall is the preferred one.
+    pub(super) fn is_local(&self, hall: &str) -> bool {
         self.hall.as_deref() == Some(hall)
     }
 }
@@ -63,14 +64,14 @@
 /// A call to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchPlan {
-    /// Target.
+    /// Target that the call goes to.
     pub target: TargetId,
     /// Pieces in the order of the call.
     pub pieces: Vec<(PieceTicket, PieceWork)>,
 }
 
 impl BatchPlan {
-    /// Returns the size of all its results, in bytes.
+    /// Returns the estimated size of all results, in bytes.
     pub fn result_bytes(&self) -> u64 {
         self.pieces.iter().map(|(_, work)| work.result_bytes).sum()
     }
--- a/packages/turnford-policy/src/route/prefill_queue.rs
+++ b/packages/turnford-policy/src/route/prefill_queue.rs
@@ -1,4 +1,4 @@
-//! The prompts that an engine has to read, in their order.
+//! Prefill queue of an engine: prompts that it has not processed yet.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,76 +8,82 @@
 use super::engine::RunTicket;
 use super::LatencyModel;
 
-/// A prompt that is not read yet.
+/// A prompt that waits for prefill.
 #[derive(Clone, Copy, Debug)]
-struct QueuedRead {
+struct QueuedPrefill {
     ticket: RunTicket,
     tokens: u64,
-    placed: Moment,
+    placed_at: Moment,
 }
 
-/// A prompt that was read while all before it were done, so that its span is its own.
+/// Measured prefill of a prompt that was first in the queue, so that its duration includes no other
+/// prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct ReadSample {
-    /// Tokens that were read.
+pub(crate) struct PrefillSample {
+    /// Number of processed tokens.
     pub(crate) tokens: u64,
-    /// Span from its turn to its first event.
-    pub(crate) span: Duration,
-    /// Whether the engine had nothing to read when it came.
+    /// Time from the start of the prefill to the first event.
+    pub(crate) duration: Duration,
+    /// Whether the engine had no other prompt queued when this one was placed.
     pub(crate) was_idle: bool,
 }
 
-/// The prompts that one engine still has to read.
+/// Prompts that wait for prefill at one engine, in order.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ReadQueue {
-    waiting: VecDeque<QueuedRead>,
-    /// When the last prompt was read.
-    last_read: Moment,
+pub(crate) struct PrefillQueue {
+    waiting: VecDeque<QueuedPrefill>,
+    /// When the last prefill was finished.
+    last_finished: Moment,
 }
 
-impl ReadQueue {
+impl PrefillQueue {
     pub(crate) fn push(&mut self, now: Moment, ticket: RunTicket, tokens: u64) {
-        self.waiting.push_back(QueuedRead {
+        self.waiting.push_back(QueuedPrefill {
             ticket,
             tokens,
-            placed: now,
+            placed_at: now,
         });
     }
 
-    /// Returns the span until all of them are read at an engine that takes so many times the usual
-    /// span. An engine that is overdue is expected to need as long again: so one that hangs gets
-    /// nothing more long before its calls end.
-    pub(crate) fn wait(&self, now: Moment, line: &LatencyModel, slowness: f64) -> Duration {
+    /// Returns the time until all prompts are processed by an engine of this slowness. An overdue
+    /// engine is expected to need as much time again, so that a hung one gets no more requests long
+    /// before its calls time out.
+    pub(crate) fn wait(&self, now: Moment, model: &LatencyModel, slowness: f64) -> Duration {
         let Some(front) = self.waiting.front() else {
             return Duration::ZERO;
         };
-        let first = line.predict(front.tokens as f64).mul_f64(slowness);
-        let begun = front.placed.max(self.last_read);
-        let first = first.abs_diff(now.saturating_sub(begun));
-        let tokens: u64 = self.waiting.iter().skip(1).map(|read| read.tokens).sum();
-        first + Duration::from_secs_f64(tokens as f64 * line.slope() * slowness)
+        let first = model.predict(front.tokens as f64).mul_f64(slowness);
+        let started_at = front.placed_at.max(self.last_finished);
+        let first = first.abs_diff(now.saturating_sub(started_at));
+        let tokens: u64 = self
+            .waiting
+            .iter()
+            .skip(1)
+            .map(|prompt| prompt.tokens)
+            .sum();
+        first + Duration::from_secs_f64(tokens as f64 * model.slope() * slowness)
     }
 
-    /// Notes that a prompt was read; what was seen of its span, where that was its own.
-    pub(crate) fn finish(&mut self, now: Moment, ticket: RunTicket) -> Option<ReadSample> {
+    /// Records that a prompt was processed. Returns a sample if its duration could be measured.
+    pub(crate) fn finish(&mut self, now: Moment, ticket: RunTicket) -> Option<PrefillSample> {
         let front = *self.waiting.front()?;
         if front.ticket != ticket {
             self.remove(ticket);
             return None;
         }
-        let was_idle = front.placed >= self.last_read;
-        let begun = front.placed.max(self.last_read);
+        let was_idle = front.placed_at >= self.last_finished;
+        let started_at = front.placed_at.max(self.last_finished);
         self.waiting.pop_front();
-        self.last_read = now;
-        Some(ReadSample {
+        self.last_finished = now;
+        Some(PrefillSample {
             tokens: front.tokens,
-            span: now.saturating_sub(begun),
+            duration: now.saturating_sub(started_at),
             was_idle,
         })
     }
 
-    /// Forgets a prompt that is not read here after all.
+    /// Removes a prompt that is not processed here after all.
     pub(crate) fn remove(&mut self, ticket: RunTicket) {
-        self.waiting.retain(|read| read.ticket != ticket);
+        self.waiting.retain(|prompt| prompt.ticket != ticket);
     }
 }
--- a/packages/turnford-policy/src/route/store_position.rs
+++ b/packages/turnford-policy/src/route/store_position.rs
@@ -1,9 +1,9 @@
-//! Places in the history of the platform's store.
+//! Positions in the history of the platform's store.
 
 use std::fmt;
 
-/// A place in the store's history. The store may come back from an older copy of itself: it then gives
-/// revisions out again, and tells a new era. So places are compared era first.
+/// A position in the store's history. When the store is restored from an older backup it reuses
+/// revisions, and announces a new era. Positions are therefore ordered by era first.
 #[derive(
     Clone,
     Copy,
@@ -18,14 +18,14 @@
     bincode::Decode,
 )]
 pub struct StorePosition {
-    /// How often the store came back from a copy.
+    /// How often the store was restored from a backup.
     pub era: u64,
-    /// Revision of the store in that era.
+    /// Revision of the store within the era.
     pub revision: u64,
 }
 
 impl StorePosition {
-    /// Returns the place of a revision in an era.
+    /// Creates the position of a revision in an era.
     pub fn new(era: u64, revision: u64) -> Self {
         Self { era, revision }
     }
--- a/packages/turnford-policy/src/route/table.rs
+++ b/packages/turnford-policy/src/route/table.rs
@@ -1,4 +1,4 @@
-//! Look-up of routes by host and path, and of accounts by key.
+//! Lookup of routes by host and path, and of accounts by key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 use super::RouteConfig;
 use super::RouteSpec;
 
-/// What a key stands for.
+/// Account that an API key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountGrant {
-    /// Account.
+    /// Account that the key belongs to.
     pub account: AccountId,
-    /// Rank that goes before that of the route.
+    /// Rank that overrides that of the route.
     pub rank: Option<ClassRank>,
 }
 
-/// Routes and keys of one configuration, ready for look-up.
+/// Routes and keys of one configuration, indexed for lookup.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     /// Routes of each host, the longest prefix first.
@@ -43,19 +43,19 @@
         }
     }
 
-    /// Returns the route of a host and a path: the one with the longest prefix.
+    /// Returns the route with the longest prefix for a host and a path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteSpec>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.hosts.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Tells whether requests need a key.
+    /// Returns whether requests need a key.
     pub fn requires_key(&self) -> bool {
         self.keys.is_some()
     }
 
-    /// Returns what a key stands for.
+    /// Returns the account that a key belongs to.
     pub fn grant(&self, key: &str) -> Option<&AccountGrant> {
         self.keys.as_ref()?.get(key)
     }
--- a/packages/turnford-policy/src/route/target_table.rs
+++ b/packages/turnford-policy/src/route/target_table.rs
@@ -1,4 +1,4 @@
-//! The targets of one service as one node sees them, and the choice between them.
+//! The targets of one service as seen by one node, and the choice among them.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -8,261 +8,287 @@
 use crate::TargetId;
 
 use super::config::ProcessStart;
-use super::target_record::BoardEntry;
 use super::target_record::LoadSample;
+use super::target_record::TargetRecord;
 use super::TargetSpec;
 
-/// Weight of the newest sample in averages of failures and times.
+/// Weight of the newest sample in the moving average of failures.
 const SAMPLE_WEIGHT: f64 = 0.25;
 
-/// Weight of the newest sample of slowness; two calls tell.
+/// Weight of the newest slowness sample. Two calls are enough to tell a slow target.
 const SLOWNESS_WEIGHT: f64 = 0.6;
 
-/// Time after which half of a measured slowness no longer counts.
+/// Half-life of a measured slowness above 1.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// First pause of a target that failed; it doubles with each further failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// Initial pause of a target that refused a call. Doubles with each further refusal in a row.
+const INITIAL_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest pause of a failing target.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Maximum pause of a target that refuses calls.
+const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// Part of failed calls over which a target is used only if no other can take the call.
-const BAD_FAILURE: f64 = 0.3;
+/// Failure rate from which a target is used only if no other can take the call.
+const FAILURE_THRESHOLD: f64 = 0.3;
 
-/// Cost of a target that fails all its calls, in the unit of times.
+/// Cost of a target that fails all its calls, as time.
 const FAILURE_COST: Duration = Duration::from_secs(2);
 
-/// Costs that differ by less are the same but for rounding.
-const EQUAL_COST: f64 = 1e-6;
+/// Costs that differ by less than this rounding error count as equal, in seconds.
+const COST_TOLERANCE: f64 = 1e-6;
 
-/// The targets of one service.
+/// State of the targets of one service.
 #[derive(Clone, Debug, Default)]
 pub struct TargetTable {
-    entries: BTreeMap<TargetId, BoardEntry>,
-    /// Which of several equal targets is chosen next. Nodes that took the first would all choose alike.
-    turn: Cell<usize>,
+    records: BTreeMap<TargetId, TargetRecord>,
+    /// Rotates through targets of equal cost. If each node took the first one, all nodes would
+    /// choose the same target.
+    next_tie: Cell<usize>,
 }
 
 impl TargetTable {
-    /// Takes a new list of targets. What was learned of those that stay is kept; one that started again
-    /// is another target, whatever its id.
+    /// Replaces the list of targets. State of targets that remain is kept. A target whose process
+    /// restarted counts as a new one, even with the same id.
     pub fn set_targets<'a>(&mut self, specs: impl Iterator<Item = &'a TargetSpec>) {
-        let mut old = std::mem::take(&mut self.entries);
+        let mut old = std::mem::take(&mut self.records);
         for spec in specs {
             let known = old.remove(&spec.id);
-            let known = known.filter(|entry| spec.is_same_process(&entry.spec));
-            let mut entry = known.unwrap_or_else(|| BoardEntry::new(spec.clone()));
-            entry.take_spec(spec);
-            self.entries.insert(spec.id.clone(), entry);
+            let known = known.filter(|record| spec.is_same_process(&record.spec));
+            let mut record = known.unwrap_or_else(|| TargetRecord::new(spec.clone()));
+            record.update_spec(spec);
+            self.records.insert(spec.id.clone(), record);
         }
     }
 
-    /// Returns the number of targets that take new work.
+    /// Returns the number of targets that accept new work.
     pub fn open_count(&self) -> usize {
-        let entries = self.entries.values();
-        entries.filter(|entry| !entry.spec.leaving).count()
+        let records = self.records.values();
+        records.filter(|record| !record.spec.leaving).count()
     }
 
-    /// Returns a target by its id, leaving ones too.
+    /// Returns a target by its id, including one that is leaving.
     pub fn get(&self, id: &str) -> Option<&TargetSpec> {
-        self.entries.get(id).map(|entry| &entry.spec)
+        self.records.get(id).map(|record| &record.spec)
     }
 
-    /// Returns every target, leaving ones too.
+    /// Returns all targets, including those that are leaving.
     pub fn all_targets(&self) -> impl Iterator<Item = &TargetSpec> {
-        self.entries.values().map(|entry| &entry.spec)
+        self.records.values().map(|record| &record.spec)
     }
 
-    /// Returns the targets that take new work.
+    /// Returns the targets that accept new work.
     pub fn open_targets(&self) -> impl Iterator<Item = &TargetSpec> {
-        let specs = self.entries.values().map(|entry| &entry.spec);
+        let specs = self.records.values().map(|record| &record.spec);
         specs.filter(|spec| !spec.leaving)
     }
 
-    /// Notes that a target's process said that it leaves; true if that is new here. It takes no new work
-    /// from then on, whatever its entry says: that may wait for the store, or lag.
-    pub fn record_leaving(&mut self, now: Moment, id: &str, born: ProcessStart) -> bool {
-        let entry = self.entries.get_mut(id);
-        let Some(entry) = entry.filter(|entry| entry.spec.process_start == born) else {
+    /// Records that a target's process announced that it is leaving. Returns true if this was not
+    /// known. The target gets no new work from then on, even if its store entry, which may be
+    /// delayed, says that it is ready.
+    pub fn record_leaving(&mut self, now: Moment, id: &str, process_start: ProcessStart) -> bool {
+        let record = self.records.get_mut(id);
+        let Some(record) = record.filter(|record| record.spec.process_start == process_start)
+        else {
             return false;
         };
-        entry.spec.leaving = true;
-        entry.gate.note_leaving(now)
+        record.spec.leaving = true;
+        record.gate.record_leaving(now)
     }
 
-    /// Notes that a target that said that it leaves stays.
-    pub fn record_active(&mut self, id: &str, born: ProcessStart) {
-        let entry = self.entries.get_mut(id);
-        if let Some(entry) = entry.filter(|entry| entry.spec.process_start == born) {
-            entry.gate.note_staying();
-            entry.spec.leaving = entry.is_listed_leaving;
+    /// Records that a target that announced that it is leaving is active again.
+    pub fn record_active(&mut self, id: &str, process_start: ProcessStart) {
+        let record = self.records.get_mut(id);
+        if let Some(record) = record.filter(|record| record.spec.process_start == process_start) {
+            record.gate.record_active();
+            record.spec.leaving = record.is_listed_leaving;
         }
     }
 
-    /// Notes that a target's process wants nothing of this node for so long.
-    pub fn record_backoff(&mut self, now: Moment, id: &str, born: ProcessStart, span: Duration) {
-        let entry = self.entries.get_mut(id);
-        if let Some(entry) = entry.filter(|entry| entry.spec.process_start == born) {
-            entry.gate.note_rest(now, span);
+    /// Records that a target's process asked this node to back off for a time.
+    pub fn record_backoff(
+        &mut self,
+        now: Moment,
+        id: &str,
+        process_start: ProcessStart,
+        duration: Duration,
+    ) {
+        let record = self.records.get_mut(id);
+        if let Some(record) = record.filter(|record| record.spec.process_start == process_start) {
+            record.gate.record_backoff(now, duration);
         }
     }
 
-    /// Notes that a target's process wants nothing for so long of the node that gathers for it.
+    /// Records that a target's process asked the node that batches its calls to back off for a
+    /// time.
     pub fn record_batcher_backoff(
         &mut self,
         now: Moment,
         id: &str,
-        born: ProcessStart,
-        span: Duration,
+        process_start: ProcessStart,
+        duration: Duration,
     ) {
-        let entry = self.entries.get_mut(id);
-        if let Some(entry) = entry.filter(|entry| entry.spec.process_start == born) {
-            entry.gate.note_told_rest(now, span);
+        let record = self.records.get_mut(id);
+        if let Some(record) = record.filter(|record| record.spec.process_start == process_start) {
+            record.gate.record_batcher_backoff(now, duration);
         }
     }
 
-    /// Returns the targets that take new work beside these.
+    /// Returns the ids of targets that accept new work, without those already tried.
     pub fn untried_targets(&self, tried: &[TargetId]) -> Vec<TargetId> {
         let left = self.untried(tried);
-        left.map(|entry| entry.spec.id.clone()).collect()
+        left.map(|record| record.spec.id.clone()).collect()
     }
 
-    /// Tells until when a target wants nothing of this node, `None` if it takes calls.
+    /// Returns when a target's backoff for this node ends. Returns `None` if it takes calls.
     pub fn backoff_until(&self, now: Moment, id: &str) -> Option<Moment> {
-        let entry = self.entries.get(id)?;
-        entry.gate.rests(now).then(|| entry.gate.rests_until())
+        let record = self.records.get(id)?;
+        record
+            .gate
+            .is_backing_off(now)
+            .then(|| record.gate.backoff_until())
     }
 
-    /// Tells whether a target takes the calls of this node that are under way there, those that are about
-    /// to be sent among them.
+    /// Returns whether a target takes the calls in flight of this node, including those about to be
+    /// sent.
     pub fn is_within_limit(&self, now: Moment, id: &str) -> bool {
-        let entry = self.entries.get(id);
-        entry.is_some_and(|entry| entry.gate.has_room(now, entry.in_flight))
+        let record = self.records.get(id);
+        record.is_some_and(|record| record.gate.allows(now, record.in_flight))
     }
 
-    /// Tells whether a target takes one more call of this node.
+    /// Returns whether a target takes one more call of this node.
     pub fn is_open(&self, now: Moment, id: &str) -> bool {
-        let entry = self.entries.get(id);
-        entry.is_some_and(|entry| entry.is_open(now))
+        let record = self.records.get(id);
+        record.is_some_and(|record| record.is_open(now))
     }
 
-    /// Tells whether any target beside these takes one more call of this node.
+    /// Returns whether any untried target takes one more call of this node.
     pub fn has_open(&self, now: Moment, tried: &[TargetId]) -> bool {
         let mut left = self.untried(tried);
-        left.any(|entry| entry.is_open(now))
+        left.any(|record| record.is_open(now))
     }
 
-    /// Returns the targets that take no further call of this node now, though they don't leave.
+    /// Returns the targets that take no further call of this node now although they aren't leaving.
     pub fn closed_targets(&self, now: Moment) -> Vec<TargetId> {
         let left = self.untried(&[]);
-        let closed = left.filter(|entry| !entry.is_open(now));
-        closed.map(|entry| entry.spec.id.clone()).collect()
+        let closed = left.filter(|record| !record.is_open(now));
+        closed.map(|record| record.spec.id.clone()).collect()
     }
 
-    /// Returns when the first target beside these takes calls of this node, at the earliest now; `None`
-    /// if there is none that doesn't leave.
+    /// Returns when the first untried target takes calls of this node, at the earliest now. Returns
+    /// `None` if all others are leaving.
     pub fn opens_at(&self, now: Moment, tried: &[TargetId]) -> Option<Moment> {
-        let ends = self.untried(tried).map(|entry| entry.gate.rests_until());
+        let ends = self
+            .untried(tried)
+            .map(|record| record.gate.backoff_until());
         ends.min().map(|end| end.max(now))
     }
 
-    /// Returns when the first target takes calls of the node that gathers for it, at the earliest now.
+    /// Returns when the first target takes calls of the node that batches for it, at the earliest
+    /// now.
     pub fn opens_for_batcher_at(&self, now: Moment) -> Option<Moment> {
-        let ends = self.untried(&[]).map(|entry| entry.gate.any_rest_until());
+        let ends = self
+            .untried(&[])
+            .map(|record| record.gate.any_backoff_until());
         ends.min().map(|end| end.max(now))
     }
 
-    /// Tells whether a target rests towards the node that gathers for it.
+    /// Returns whether a target asked this node, or the node that batches its calls, to back off.
     pub fn has_any_backoff(&self, now: Moment, id: &str) -> bool {
-        let entry = self.entries.get(id);
-        entry.is_some_and(|entry| now < entry.gate.any_rest_until())
+        let record = self.records.get(id);
+        record.is_some_and(|record| now < record.gate.any_backoff_until())
     }
 
-    /// Returns the requests that the targets beside these work on at a time.
+    /// Returns the number of concurrent requests of all untried targets together.
     pub fn total_slots(&self, tried: &[TargetId]) -> u32 {
-        self.untried(tried).map(|entry| entry.spec.slots).sum()
+        self.untried(tried).map(|record| record.spec.slots).sum()
     }
 
-    fn untried<'a>(&'a self, tried: &'a [TargetId]) -> impl Iterator<Item = &'a BoardEntry> {
-        let open = self.entries.values().filter(|entry| !entry.spec.leaving);
-        open.filter(|entry| !tried.contains(&entry.spec.id))
+    fn untried<'a>(&'a self, tried: &'a [TargetId]) -> impl Iterator<Item = &'a TargetRecord> {
+        let open = self.records.values().filter(|record| !record.spec.leaving);
+        open.filter(|record| !tried.contains(&record.spec.id))
     }
 
-    /// Returns the targets to be asked whether they stay, each once in a while: they said that they
-    /// leave, and their entries still say that they are ready. `later` is this node's own number from 0 to
-    /// 1, so that nodes ask one after the other.
-    pub fn take_due_probes(&mut self, now: Moment, later: f64) -> Vec<TargetSpec> {
-        let entries = self.entries.values_mut();
-        let due =
-            entries.filter(|entry| !entry.is_listed_leaving && entry.gate.is_ask_due(now, later));
-        let asks = due.map(|entry| {
-            entry.gate.note_leaving(now);
-            entry.spec.clone()
+    /// Returns the targets to probe for whether they are still leaving, each at intervals: they
+    /// announced that they leave but their store entries say that they are ready. `jitter` is a
+    /// fixed number of this node from 0 to 1 that spreads the probes of all nodes.
+    pub fn take_due_probes(&mut self, now: Moment, jitter: f64) -> Vec<TargetSpec> {
+        let records = self.records.values_mut();
+        let due = records
+            .filter(|record| !record.is_listed_leaving && record.gate.is_probe_due(now, jitter));
+        let probes = due.map(|record| {
+            record.gate.record_leaving(now);
+            record.spec.clone()
         });
-        asks.collect()
+        probes.collect()
     }
 
-    /// Tells whether a target failed so lately that it is passed over.
+    /// Returns whether a target is paused after recent refusals.
     pub fn is_paused(&self, now: Moment, id: &str) -> bool {
-        let entry = self.entries.get(id);
-        entry.is_some_and(|entry| entry.paused_until > now)
+        let record = self.records.get(id);
+        record.is_some_and(|record| record.paused_until > now)
     }
 
-    /// Returns the expected load of a target: calls under way and waiting, this node's among them.
+    /// Returns the expected load of a target: its running and waiting calls, including those of
+    /// this node.
     pub fn load(&self, now: Moment, id: &str) -> f64 {
-        self.entries.get(id).map_or(0.0, |entry| entry.load(now))
+        self.records.get(id).map_or(0.0, |record| record.load(now))
     }
 
-    /// Returns the calls of this node that are under way at a target.
+    /// Returns the number of calls of this node in flight at a target.
     pub fn in_flight(&self, id: &str) -> u32 {
-        self.entries.get(id).map_or(0, |entry| entry.in_flight)
+        self.records.get(id).map_or(0, |record| record.in_flight)
     }
 
-    /// Chooses the target with the least cost, among those not tried yet.
+    /// Chooses the untried target with the lowest cost.
     ///
-    /// `cost_of` gives the cost of a target in seconds from its load; the board adds what the
-    /// target's failures make likely. Paused targets are chosen only where nothing else is left.
+    /// `cost_of` returns the cost of a target in seconds for its load. The cost of its failures is
+    /// added to that. Paused targets are chosen only if nothing else is left.
     pub fn choose(
         &self,
         now: Moment,
         tried: &[TargetId],
         cost_of: impl Fn(&TargetSpec, f64) -> f64,
     ) -> Option<TargetSpec> {
-        let left: Vec<&BoardEntry> = self.untried(tried).collect();
-        let awake = left.iter().filter(|entry| entry.paused_until <= now);
-        let sound = awake.clone().filter(|entry| entry.failure < BAD_FAILURE);
-        let cost = |entry: &BoardEntry| {
-            let own = cost_of(&entry.spec, entry.load(now));
-            own + entry.failure * FAILURE_COST.as_secs_f64()
+        let untried: Vec<&TargetRecord> = self.untried(tried).collect();
+        let unpaused = untried.iter().filter(|record| record.paused_until <= now);
+        let healthy = unpaused
+            .clone()
+            .filter(|record| record.failure_rate < FAILURE_THRESHOLD);
+        let cost = |record: &TargetRecord| {
+            let base = cost_of(&record.spec, record.load(now));
+            base + record.failure_rate * FAILURE_COST.as_secs_f64()
         };
         let chosen = self
-            .take_cheapest(sound.copied(), cost)
-            .or_else(|| self.take_cheapest(awake.copied(), cost))
-            .or_else(|| left.iter().copied().min_by_key(|entry| entry.paused_until));
-        chosen.map(|entry| entry.spec.clone())
-    }
-
-    /// Returns one of those that cost the least, another one each time.
-    fn take_cheapest<'a>(
+            .pick_cheapest(healthy.copied(), cost)
+            .or_else(|| self.pick_cheapest(unpaused.copied(), cost))
+            .or_else(|| {
+                untried
+                    .iter()
+                    .copied()
+                    .min_by_key(|record| record.paused_until)
+            });
+        chosen.map(|record| record.spec.clone())
+    }
+
+    /// Returns one of the targets with the lowest cost, in rotation.
+    fn pick_cheapest<'a>(
         &self,
-        entries: impl Iterator<Item = &'a BoardEntry>,
-        cost: impl Fn(&BoardEntry) -> f64,
-    ) -> Option<&'a BoardEntry> {
-        let costs = entries.map(|entry| (cost(entry), entry));
-        let costs: Vec<(f64, &BoardEntry)> = costs.collect();
+        records: impl Iterator<Item = &'a TargetRecord>,
+        cost: impl Fn(&TargetRecord) -> f64,
+    ) -> Option<&'a TargetRecord> {
+        let costs = records.map(|record| (cost(record), record));
+        let costs: Vec<(f64, &TargetRecord)> = costs.collect();
         let least = costs.iter().map(|(cost, _)| *cost).min_by(f64::total_cmp)?;
-        let is_equal = |(cost, _): &&(f64, &BoardEntry)| *cost <= least + EQUAL_COST;
-        let equal: Vec<&(f64, &BoardEntry)> = costs.iter().filter(is_equal).collect();
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
-        equal.get(turn % equal.len()).map(|(_, entry)| *entry)
+        let is_equal = |(cost, _): &&(f64, &TargetRecord)| *cost <= least + COST_TOLERANCE;
+        let equal: Vec<&(f64, &TargetRecord)> = costs.iter().filter(is_equal).collect();
+        let next = self.next_tie.get();
+        self.next_tie.set(next.wrapping_add(1));
+        equal.get(next % equal.len()).map(|(_, record)| *record)
     }
 
-    /// Returns the time of a target's calls against what is expected of them. What was measured
-    /// long ago counts less, so that a slow target is tried again.
+    /// Returns the duration of a target's calls relative to the expected one. The measured value
+    /// decays towards 1, so that a slow target is tried again.
     pub fn slowness(&self, now: Moment, id: &str) -> f64 {
-        let measured = self.entries.get(id).and_then(|entry| entry.slowness);
+        let measured = self.records.get(id).and_then(|record| record.slowness);
         let Some((slowness, at)) = measured else {
             return 1.0;
         };
@@ -270,69 +296,70 @@
         1.0 + (slowness - 1.0).max(0.0) * 0.5_f64.powf(age)
     }
 
-    /// Returns the same where it was measured lately, `None` otherwise.
+    /// Returns the measured slowness without decay. Returns `None` if the last sample is older than
+    /// the half-life.
     pub fn measured_slowness(&self, now: Moment, id: &str) -> Option<f64> {
-        let (slowness, at) = self.entries.get(id)?.slowness?;
+        let (slowness, at) = self.records.get(id)?.slowness?;
         let is_recent = now.saturating_sub(at) < SLOWNESS_HALF_LIFE;
         is_recent.then_some(slowness)
     }
 
-    /// Notes that a call of this node goes to a target.
+    /// Records that a call of this node is sent to a target.
     pub fn record_start(&mut self, id: &str) {
-        if let Some(entry) = self.entries.get_mut(id) {
-            entry.in_flight += 1;
+        if let Some(record) = self.records.get_mut(id) {
+            record.in_flight += 1;
         }
     }
 
-    /// Notes that a call of this node ended, however it did.
+    /// Records that a call of this node ended, with any outcome.
     pub fn record_end(&mut self, id: &str) {
-        if let Some(entry) = self.entries.get_mut(id) {
-            entry.in_flight = entry.in_flight.saturating_sub(1);
+        if let Some(record) = self.records.get_mut(id) {
+            record.in_flight = record.in_flight.saturating_sub(1);
         }
     }
 
-    /// Takes the load that a target told.
-    pub fn record_load(&mut self, now: Moment, id: &str, mark: LoadSample) {
-        if let Some(entry) = self.entries.get_mut(id) {
-            entry.mark = Some((now, mark, entry.in_flight));
+    /// Records the load reported by a target.
+    pub fn record_load(&mut self, now: Moment, id: &str, sample: LoadSample) {
+        if let Some(record) = self.records.get_mut(id) {
+            record.reported_load = Some((now, sample, record.in_flight));
         }
     }
 
-    /// Notes a call that went well.
+    /// Records a successful call.
     pub fn record_success(&mut self, now: Moment, id: &str) {
-        let Some(entry) = self.entries.get_mut(id) else {
+        let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        entry.gate.note_success(now, entry.spec.slots);
-        entry.failure *= 1.0 - SAMPLE_WEIGHT;
-        entry.failures_in_row = 0;
-        entry.paused_until = Moment::ZERO;
+        record.gate.record_success(now, record.spec.slots);
+        record.failure_rate *= 1.0 - SAMPLE_WEIGHT;
+        record.consecutive_refusals = 0;
+        record.paused_until = Moment::ZERO;
     }
 
-    /// Notes the time of a call against what was expected of it; 1 is as expected.
+    /// Records the duration of a call relative to the expected one, where 1 is as expected.
     pub fn record_slowness(&mut self, now: Moment, id: &str, sample: f64) {
-        if let Some(entry) = self.entries.get_mut(id) {
-            let old = entry.slowness.map_or(sample, |(old, _)| old);
+        if let Some(record) = self.records.get_mut(id) {
+            let old = record.slowness.map_or(sample, |(old, _)| old);
             let new = old + SLOWNESS_WEIGHT * (sample - old);
-            entry.slowness = Some((new, now));
+            record.slowness = Some((new, now));
         }
     }
 
-    /// Notes a call that failed in a way that speaks against the target itself.
+    /// Records a failed call that the target is to blame for.
     pub fn record_failure(&mut self, id: &str) {
-        if let Some(entry) = self.entries.get_mut(id) {
-            entry.failure += SAMPLE_WEIGHT * (1.0 - entry.failure);
+        if let Some(record) = self.records.get_mut(id) {
+            record.failure_rate += SAMPLE_WEIGHT * (1.0 - record.failure_rate);
         }
     }
 
-    /// Notes that a target could not be reached or is full: it gets a pause.
+    /// Records that a target could not be reached or is full, and pauses it.
     pub fn record_refusal(&mut self, now: Moment, id: &str) {
-        let Some(entry) = self.entries.get_mut(id) else {
+        let Some(record) = self.records.get_mut(id) else {
             return;
         };
-        let doublings = entry.failures_in_row.min(8);
-        let pause = (FIRST_PAUSE * 2_u32.pow(doublings)).min(LONGEST_PAUSE);
-        entry.failures_in_row += 1;
-        entry.paused_until = now + pause;
+        let doublings = record.consecutive_refusals.min(8);
+        let pause = (INITIAL_PAUSE * 2_u32.pow(doublings)).min(MAX_PAUSE);
+        record.consecutive_refusals += 1;
+        record.paused_until = now + pause;
     }
 }
--- a/packages/turnford-policy/src/route/target_update.rs
+++ b/packages/turnford-policy/src/route/target_update.rs
@@ -1,38 +1,39 @@
-//! What nodes tell each other of the targets, and what became of these.
+//! Updates of the target list that nodes exchange, and the outcome of timeouts.
 
 use crate::Moment;
 use crate::TargetId;
 
 use super::TargetSpec;
 
-/// A target with what is left of its time where its entry lapsed.
+/// A target of the list, with the state of its store entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedTarget {
     /// The target.
     pub spec: TargetSpec,
-    /// When it counts as gone unless its entry comes back; `None` while its entry is there.
+    /// When the target is removed unless its entry is rewritten. `None` while the entry is present.
     pub expires_at: Option<Moment>,
-    /// Whether its entry was not written since the store came back from a copy, so that it may be older
-    /// than what others know.
+    /// Whether the entry has not been written since the store was restored from a backup. It may
+    /// then be older than what other nodes know.
     pub is_restored: bool,
 }
 
-/// What one node tells another of the targets.
+/// Update of the target list from another node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetUpdate {
     /// Whether these are all targets, or only those that changed.
     pub is_full: bool,
-    /// Targets that are new or changed.
+    /// New or changed targets.
     pub listed: Vec<ListedTarget>,
-    /// Targets that are gone.
+    /// Removed targets.
     pub removed: Vec<TargetId>,
 }
 
-/// Targets whose time ran out.
+/// Targets affected by timeouts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExpiredTargets {
-    /// Targets that lapsed and did not return.
+    /// Lapsed targets whose entry was not rewritten.
     pub removed: Vec<TargetId>,
-    /// Targets that had been gone before the store came back from a copy, and live.
+    /// Targets that had been known to have ended before the store was restored from a backup, and
+    /// are alive.
     pub reinstated: Vec<TargetId>,
 }
