--- a/packages/turnford-policy/tests/batch_board.rs
+++ b/packages/turnford-policy/tests/batch_board.rs
@@ -1,4 +1,4 @@
-//! Pieces are gathered into calls, by urgency, near their bytes and within the room.
+//! Batching of pieces by urgency, preferred hall and result capacity.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,15 +37,15 @@
     }
 }
 
-/// A board whose targets are known.
-fn board(targets: &[TargetSpec]) -> (BatchScheduler, TargetTable) {
-    let mut batches = BatchScheduler::new(spec());
-    let mut board = TargetTable::default();
-    board.set_targets(targets.iter());
+/// Returns a scheduler that knows the usage of its targets.
+fn table(targets: &[TargetSpec]) -> (BatchScheduler, TargetTable) {
+    let mut scheduler = BatchScheduler::new(spec());
+    let mut table = TargetTable::default();
+    table.set_targets(targets.iter());
     for target in targets {
-        batches.record_report(Duration::ZERO, &target.id, u64::MAX);
+        scheduler.record_report(Duration::ZERO, &target.id, u64::MAX);
     }
-    (batches, board)
+    (scheduler, table)
 }
 
 fn work(attempt: &str, due: u32, rank: u8) -> PieceWork {
@@ -71,151 +71,159 @@
 }
 
 #[test]
-fn busy_gathers() {
+fn batches_while_busy() {
     let targets = [target("k1", "a")];
-    let (mut batches, board) = board(&targets);
-    batches.push(work("first", 3000, 0));
-    assert_eq!(batches.plan(MS, &board, &targets).0.len(), 1);
+    let (mut scheduler, table) = table(&targets);
+    scheduler.push(work("first", 3000, 0));
+    assert_eq!(scheduler.plan(MS, &table, &targets).0.len(), 1);
     for number in 0..6 {
-        batches.push(work(&format!("w{number}"), 3000, 0));
+        scheduler.push(work(&format!("w{number}"), 3000, 0));
     }
     assert!(
-        batches.plan(2 * MS, &board, &targets).0.is_empty(),
-        "it is busy"
+        scheduler.plan(2 * MS, &table, &targets).0.is_empty(),
+        "target is busy"
     );
-    batches.record_end(220 * MS, &targets[0].id, 100, std::iter::empty());
-    let (plans, _) = batches.plan(220 * MS, &board, &targets);
+    scheduler.record_end(220 * MS, &targets[0].id, 100, std::iter::empty());
+    let (plans, _) = scheduler.plan(220 * MS, &table, &targets);
     assert_eq!(plans[0].pieces.len(), 4);
-    assert_eq!(batches.queue_len(), 2);
+    assert_eq!(scheduler.queue_len(), 2);
 }
 
 #[test]
 fn urgent_first() {
     let targets = [target("k1", "a")];
-    let (mut batches, board) = board(&targets);
-    batches.push(work("late", 100, 0));
-    batches.push(work("low", 1000, 2));
-    batches.push(work("later", 3000, 0));
-    batches.push(work("sooner", 2000, 0));
-    let (plans, _) = batches.plan(MS, &board, &targets);
-    // What can't be in time any more goes last, whatever its rank.
+    let (mut scheduler, table) = table(&targets);
+    scheduler.push(work("late", 100, 0));
+    scheduler.push(work("low", 1000, 2));
+    scheduler.push(work("later", 3000, 0));
+    scheduler.push(work("sooner", 2000, 0));
+    let (plans, _) = scheduler.plan(MS, &table, &targets);
+    // Overdue pieces go last, whatever their rank.
     assert_eq!(names(&plans[0].pieces), ["sooner", "later", "low", "late"]);
 }
 
 #[test]
-fn over_time() {
+fn deadline_passed() {
     let targets = [target("k1", "a")];
-    let (mut batches, board) = board(&targets);
-    let ticket = batches.push(work("gone", 100, 0));
-    let (plans, late) = batches.plan(8000 * MS, &board, &targets);
+    let (mut scheduler, table) = table(&targets);
+    let ticket = scheduler.push(work("gone", 100, 0));
+    let (plans, expired) = scheduler.plan(8000 * MS, &table, &targets);
     assert!(plans.is_empty());
-    assert_eq!(late, [ticket]);
+    assert_eq!(expired, [ticket]);
 }
 
 #[test]
-fn near_bytes() {
+fn prefers_local_hall() {
     let targets = [target("k1", "a"), target("k2", "b")];
-    let (mut batches, board) = board(&targets);
-    let near = PieceWork {
+    let (mut scheduler, table) = table(&targets);
+    let local = PieceWork {
         hall: Some(Arc::from("b")),
         hall_deadline: 300 * MS,
         ..work("near", 3000, 0)
     };
-    batches.push(near.clone());
-    batches.push(PieceWork {
+    scheduler.push(local.clone());
+    scheduler.push(PieceWork {
         piece: 1,
-        ..near.clone()
+        ..local.clone()
     });
-    let (plans, _) = batches.plan(MS, &board, &targets);
+    let (plans, _) = scheduler.plan(MS, &table, &targets);
     assert_eq!(plans.len(), 1);
     assert_eq!(&*plans[0].target, "k2");
-    // The near one is busy: for a while the piece waits, then any target will do.
-    batches.push(PieceWork { piece: 2, ..near });
-    assert!(batches.plan(10 * MS, &board, &targets).0.is_empty());
-    assert_eq!(batches.next_wakeup(10 * MS), Some(300 * MS));
-    let (plans, _) = batches.plan(300 * MS, &board, &targets);
+    // The local target is busy. The piece waits for it until its hall deadline, then takes any
+    // target.
+    scheduler.push(PieceWork { piece: 2, ..local });
+    assert!(scheduler.plan(10 * MS, &table, &targets).0.is_empty());
+    assert_eq!(scheduler.next_wakeup(10 * MS), Some(300 * MS));
+    let (plans, _) = scheduler.plan(300 * MS, &table, &targets);
     assert_eq!(&*plans[0].target, "k1");
 }
 
 #[test]
-fn within_room() {
+fn within_capacity() {
     let targets = [target("k1", "a")];
-    let (mut batches, board) = board(&targets);
+    let (mut scheduler, table) = table(&targets);
     for number in 0..3 {
-        let large = PieceWork {
+        let large_piece = PieceWork {
             result_bytes: 4000,
             ..work(&format!("w{number}"), 3000, 0)
         };
-        batches.push(large);
+        scheduler.push(large_piece);
     }
-    let (plans, _) = batches.plan(MS, &board, &targets);
-    assert_eq!(plans[0].pieces.len(), 2, "two of 4000 fit into 9200");
-    let kept = [("h1", 4000), ("h2", 4000)];
-    batches.record_end(300 * MS, &targets[0].id, 8000, kept.into_iter());
+    let (plans, _) = scheduler.plan(MS, &table, &targets);
+    assert_eq!(
+        plans[0].pieces.len(),
+        2,
+        "two results of 4000 fit into 9200"
+    );
+    let results = [("h1", 4000), ("h2", 4000)];
+    scheduler.record_end(300 * MS, &targets[0].id, 8000, results.into_iter());
     assert!(
-        batches.plan(300 * MS, &board, &targets).0.is_empty(),
-        "no room"
+        scheduler.plan(300 * MS, &table, &targets).0.is_empty(),
+        "no capacity left"
     );
-    batches.record_release("h1");
-    assert_eq!(batches.plan(310 * MS, &board, &targets).0.len(), 1);
+    scheduler.record_release("h1");
+    assert_eq!(scheduler.plan(310 * MS, &table, &targets).0.len(), 1);
 }
 
 #[test]
-fn others_results() {
-    // A target that others used before tells how much room they left.
+fn peer_results() {
+    // A target that other nodes used before has to report its free capacity first.
     let targets = [target("k1", "a")];
-    let mut batches = BatchScheduler::new(spec());
-    let mut board = TargetTable::default();
-    board.set_targets(targets.iter());
-    let large = PieceWork {
+    let mut scheduler = BatchScheduler::new(spec());
+    let mut table = TargetTable::default();
+    table.set_targets(targets.iter());
+    let large_piece = PieceWork {
         result_bytes: 4000,
         ..work("w", 3000, 0)
     };
-    batches.push(large.clone());
-    batches.push(PieceWork { piece: 1, ..large });
+    scheduler.push(large_piece.clone());
+    scheduler.push(PieceWork {
+        piece: 1,
+        ..large_piece
+    });
     assert!(
-        batches.plan(MS, &board, &targets).0.is_empty(),
-        "it is not known"
+        scheduler.plan(MS, &table, &targets).0.is_empty(),
+        "usage is unknown"
     );
-    assert_eq!(batches.take_unreported(MS, &targets).len(), 1);
+    assert_eq!(scheduler.take_unreported(MS, &targets).len(), 1);
     assert!(
-        batches.take_unreported(MS, &targets).is_empty(),
-        "it is asked once"
+        scheduler.take_unreported(MS, &targets).is_empty(),
+        "report is requested once"
     );
-    batches.record_report(MS, &targets[0].id, 5000);
-    assert_eq!(batches.plan(MS, &board, &targets).0[0].pieces.len(), 1);
+    scheduler.record_report(MS, &targets[0].id, 5000);
+    assert_eq!(scheduler.plan(MS, &table, &targets).0[0].pieces.len(), 1);
 }
 
 #[test]
-fn full_pauses() {
+fn backs_off_when_full() {
     let targets = [target("k1", "a")];
-    let (mut batches, board) = board(&targets);
-    batches.push(work("w", 3000, 0));
-    let (plans, _) = batches.plan(MS, &board, &targets);
+    let (mut scheduler, table) = table(&targets);
+    scheduler.push(work("w", 3000, 0));
+    let (plans, _) = scheduler.plan(MS, &table, &targets);
     let (ticket, piece) = plans[0].pieces[0].clone();
-    batches.record_refusal(MS, "k1");
-    batches.record_end(MS, &targets[0].id, 100, std::iter::empty());
-    batches.requeue(ticket, piece);
-    assert!(batches.plan(2 * MS, &board, &targets).0.is_empty());
-    let look = batches.next_wakeup(2 * MS).expect("a look");
-    assert_eq!(batches.plan(look, &board, &targets).0.len(), 1);
+    scheduler.record_refusal(MS, "k1");
+    scheduler.record_end(MS, &targets[0].id, 100, std::iter::empty());
+    scheduler.requeue(ticket, piece);
+    assert!(scheduler.plan(2 * MS, &table, &targets).0.is_empty());
+    let wakeup = scheduler.next_wakeup(2 * MS).expect("a wakeup");
+    assert_eq!(scheduler.plan(wakeup, &table, &targets).0.len(), 1);
 }
 
 #[test]
 fn slow_spared() {
     let targets = [target("k1", "a"), target("k2", "a")];
-    let (mut batches, mut board) = board(&targets);
-    board.record_slowness(MS, "k1", 5.0);
-    board.record_slowness(MS, "k2", 1.0);
-    batches.push(work("w", 3000, 0));
-    assert_eq!(&*batches.plan(MS, &board, &targets).0[0].target, "k2");
-    batches.push(work("x", 3000, 0));
+    let (mut scheduler, mut table) = table(&targets);
+    table.record_slowness(MS, "k1", 5.0);
+    table.record_slowness(MS, "k2", 1.0);
+    scheduler.push(work("w", 3000, 0));
+    assert_eq!(&*scheduler.plan(MS, &table, &targets).0[0].target, "k2");
+    scheduler.push(work("x", 3000, 0));
     assert!(
-        batches.plan(MS, &board, &targets).0.is_empty(),
-        "the quick one is sooner"
+        scheduler.plan(MS, &table, &targets).0.is_empty(),
+        "the fast target is sooner"
     );
     for number in 0..4 {
-        batches.push(work(&format!("w{number}"), 3000, 0));
+        scheduler.push(work(&format!("w{number}"), 3000, 0));
     }
-    assert_eq!(&*batches.plan(MS, &board, &targets).0[0].target, "k1");
+    assert_eq!(&*scheduler.plan(MS, &table, &targets).0[0].target, "k1");
 }
--- a/packages/turnford-policy/tests/born_again.rs
+++ b/packages/turnford-policy/tests/born_again.rs
@@ -1,4 +1,4 @@
-//! A target that starts again under its id knows nothing of before, and nothing of before holds for it.
+//! State of a target's process does not carry over to a restarted process with the same id.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn target(id: &str, born: ProcessStart) -> TargetSpec {
+fn target(id: &str, process_start: ProcessStart) -> TargetSpec {
     TargetSpec {
         id: Arc::from(id),
-        process_start: born,
+        process_start,
         service: Arc::from("kort"),
         address: "127.0.0.1:1".parse().expect("an address"),
         hall: Arc::from("a"),
@@ -29,36 +29,36 @@
     }
 }
 
-fn board(targets: &[TargetSpec]) -> TargetTable {
-    let mut board = TargetTable::default();
-    board.set_targets(targets.iter());
-    board
+fn table(targets: &[TargetSpec]) -> TargetTable {
+    let mut table = TargetTable::default();
+    table.set_targets(targets.iter());
+    table
 }
 
 #[test]
-fn speed_forgotten() {
-    let mut board = board(&[target("k1", 1)]);
+fn slowness_reset() {
+    let mut table = table(&[target("k1", 1)]);
     for _ in 0..5 {
-        board.record_slowness(MS, "k1", 6.0);
-        board.record_refusal(MS, "k1");
-        board.record_start("k1");
+        table.record_slowness(MS, "k1", 6.0);
+        table.record_refusal(MS, "k1");
+        table.record_start("k1");
     }
-    assert!(board.is_paused(2 * MS, "k1"));
-    board.set_targets([target("k1", 2)].iter());
-    assert_eq!(board.measured_slowness(2 * MS, "k1"), None);
-    assert!(!board.is_paused(2 * MS, "k1"));
-    // Calls of before end, but not at this process.
-    board.record_start("k1");
-    assert_eq!(board.in_flight("k1"), 1);
+    assert!(table.is_paused(2 * MS, "k1"));
+    table.set_targets([target("k1", 2)].iter());
+    assert_eq!(table.measured_slowness(2 * MS, "k1"), None);
+    assert!(!table.is_paused(2 * MS, "k1"));
+    // Calls to the old process end without affecting the new one.
+    table.record_start("k1");
+    assert_eq!(table.in_flight("k1"), 1);
 }
 
 #[test]
-fn prompts_forgotten() {
+fn cache_reset() {
     let before: Vec<TargetSpec> = ["s1", "s2"].map(|id| target(id, 1)).to_vec();
-    let mut known = board(&before);
-    let mut engines = EngineScheduler::default();
-    engines.set_capacity(280_000);
-    let need = |own: u64, tried: &[&TargetSpec]| PlacementRequest {
+    let mut table = table(&before);
+    let mut scheduler = EngineScheduler::default();
+    scheduler.set_capacity(280_000);
+    let request = |own: u64, tried: &[&TargetSpec]| PlacementRequest {
         segments: vec![
             PromptSegment {
                 id: 1,
@@ -76,27 +76,31 @@
         due: 1600 * MS,
         deadline: 8000 * MS,
     };
-    let place = |engines: &mut EngineScheduler, known: &TargetTable, need: &PlacementRequest| {
-        let (target, ticket) = engines.place(MS, known, need).expect("a place");
-        engines.record_first_event(ticket, 100 * MS);
-        engines.record_end(ticket);
-        target
-    };
-    // The engine that is not the prompt's home comes to keep it.
-    let home = EngineScheduler::default()
-        .place(MS, &known, &need(7, &[]))
+    let place =
+        |scheduler: &mut EngineScheduler, table: &TargetTable, request: &PlacementRequest| {
+            let (target, ticket) = scheduler.place(MS, table, request).expect("a place");
+            scheduler.record_first_event(ticket, 100 * MS);
+            scheduler.record_end(ticket);
+            target
+        };
+    // The engine without affinity for the prompt comes to cache it.
+    let preferred = EngineScheduler::default()
+        .place(MS, &table, &request(7, &[]))
         .expect("a place")
         .0;
-    let other = place(&mut engines, &known, &need(8, &[&home]));
-    assert_eq!(place(&mut engines, &known, &need(9, &[])).id, other.id);
+    let other = place(&mut scheduler, &table, &request(8, &[&preferred]));
+    assert_eq!(place(&mut scheduler, &table, &request(9, &[])).id, other.id);
     let after: Vec<TargetSpec> = before.iter().map(|old| target(&old.id, 2)).collect();
-    known.set_targets(after.iter());
-    engines.retain_listed(&known);
-    assert_eq!(place(&mut engines, &known, &need(10, &[])).id, home.id);
+    table.set_targets(after.iter());
+    scheduler.retain_listed(&table);
+    assert_eq!(
+        place(&mut scheduler, &table, &request(10, &[])).id,
+        preferred.id
+    );
 }
 
 #[test]
-fn room_forgotten() {
+fn capacity_reset() {
     let spec = BatchSpec {
         slots: 1,
         queue_limit: 2,
@@ -122,27 +126,27 @@
         hall_deadline: Duration::ZERO,
     };
     let before = [target("k1", 1)];
-    let mut batches = BatchScheduler::new(spec);
-    batches.retain_listed(&board(&before));
-    batches.record_report(MS, &before[0].id, u64::MAX);
-    batches.push(work("a"));
-    batches.push(work("b"));
-    assert_eq!(batches.plan(MS, &board(&before), &before).0.len(), 1);
-    let kept = [("h1", 4000), ("h2", 4000)];
-    batches.record_end(300 * MS, &before[0].id, 8000, kept.into_iter());
-    batches.push(work("c"));
-    assert!(batches
-        .plan(300 * MS, &board(&before), &before)
+    let mut scheduler = BatchScheduler::new(spec);
+    scheduler.retain_listed(&table(&before));
+    scheduler.record_report(MS, &before[0].id, u64::MAX);
+    scheduler.push(work("a"));
+    scheduler.push(work("b"));
+    assert_eq!(scheduler.plan(MS, &table(&before), &before).0.len(), 1);
+    let results = [("h1", 4000), ("h2", 4000)];
+    scheduler.record_end(300 * MS, &before[0].id, 8000, results.into_iter());
+    scheduler.push(work("c"));
+    assert!(scheduler
+        .plan(300 * MS, &table(&before), &before)
         .0
         .is_empty());
     let after = [target("k1", 2)];
-    let known = board(&after);
-    batches.retain_listed(&known);
+    let table = table(&after);
+    scheduler.retain_listed(&table);
     assert_eq!(
-        batches.take_unreported(310 * MS, &after).len(),
+        scheduler.take_unreported(310 * MS, &after).len(),
         1,
-        "it is asked anew"
+        "report is requested again"
     );
-    batches.record_report(320 * MS, &after[0].id, u64::MAX);
-    assert_eq!(batches.plan(330 * MS, &known, &after).0.len(), 1);
+    scheduler.record_report(320 * MS, &after[0].id, u64::MAX);
+    assert_eq!(scheduler.plan(330 * MS, &table, &after).0.len(), 1);
 }
--- a/packages/turnford-policy/tests/engine_board.rs
+++ b/packages/turnford-policy/tests/engine_board.rs
@@ -1,4 +1,4 @@
-//! Requests are placed where their prompt is kept, unless the engine has too much to read.
+//! Requests are placed where their prompt is cached, unless the engine's prefill queue is too long.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn board(count: usize) -> TargetTable {
+fn table(count: usize) -> TargetTable {
     let targets: Vec<TargetSpec> = (0..count)
         .map(|number| TargetSpec {
             id: Arc::from(format!("s{number}")),
@@ -24,21 +24,21 @@
             leaving: false,
         })
         .collect();
-    let mut board = TargetTable::default();
-    board.set_targets(targets.iter());
-    board
+    let mut table = TargetTable::default();
+    table.set_targets(targets.iter());
+    table
 }
 
-fn engines() -> EngineScheduler {
-    let mut engines = EngineScheduler::default();
-    engines.set_capacity(280_000);
-    engines
+fn scheduler() -> EngineScheduler {
+    let mut scheduler = EngineScheduler::default();
+    scheduler.set_capacity(280_000);
+    scheduler
 }
 
-fn need(subject: u64, own: u64) -> PlacementRequest {
-    let part = |id, tokens| PromptSegment { id, tokens };
+fn request(subject: u64, own: u64) -> PlacementRequest {
+    let segment = |id, tokens| PromptSegment { id, tokens };
     PlacementRequest {
-        segments: vec![part(1, 2500), part(subject, 3700), part(own, 2900)],
+        segments: vec![segment(1, 2500), segment(subject, 3700), segment(own, 2900)],
         prompt_tokens: 9100,
         max_output_tokens: 100,
         inputs: Vec::new(),
@@ -50,41 +50,43 @@
 
 #[test]
 fn same_engine() {
-    let board = board(12);
-    let mut engines = engines();
-    let (first, ticket) = engines.place(MS, &board, &need(7, 100)).expect("a place");
-    engines.record_first_event(ticket, 400 * MS);
-    engines.record_end(ticket);
-    let (second, _) = engines
-        .place(1000 * MS, &board, &need(7, 101))
+    let table = table(12);
+    let mut scheduler = scheduler();
+    let (first, ticket) = scheduler
+        .place(MS, &table, &request(7, 100))
+        .expect("a place");
+    scheduler.record_first_event(ticket, 400 * MS);
+    scheduler.record_end(ticket);
+    let (second, _) = scheduler
+        .place(1000 * MS, &table, &request(7, 101))
         .expect("a place");
     assert_eq!(first.id, second.id);
 }
 
 #[test]
-fn same_home() {
-    // Two nodes that know nothing of each other's requests choose alike.
-    let board = board(12);
+fn same_affinity() {
+    // Two nodes that know nothing of each other's requests choose the same engines.
+    let table = table(12);
     for subject in 0..20 {
-        let (one, _) = engines()
-            .place(MS, &board, &need(subject, 1))
+        let (one, _) = scheduler()
+            .place(MS, &table, &request(subject, 1))
             .expect("a place");
-        let (two, _) = engines()
-            .place(MS, &board, &need(subject, 2))
+        let (two, _) = scheduler()
+            .place(MS, &table, &request(subject, 2))
             .expect("a place");
         assert_eq!(one.id, two.id);
     }
 }
 
 #[test]
-fn spread_reading() {
-    // Twelve prompts at once go to twelve engines, although one keeps their shared part.
-    let board = board(12);
-    let mut engines = engines();
+fn prefill_spread() {
+    // Twelve simultaneous prompts go to different engines although one caches their shared segment.
+    let table = table(12);
+    let mut scheduler = scheduler();
     let mut used: Vec<_> = (0..12)
         .map(|own| {
-            let need = need(own, 100 + own);
-            engines.place(MS, &board, &need).expect("a place").0.id
+            let request = request(own, 100 + own);
+            scheduler.place(MS, &table, &request).expect("a place").0.id
         })
         .collect();
     used.sort();
@@ -93,56 +95,58 @@
 }
 
 #[test]
-fn tried_passed() {
-    let board = board(2);
-    let mut engines = engines();
-    let (first, _) = engines.place(MS, &board, &need(7, 1)).expect("a place");
+fn skips_tried() {
+    let table = table(2);
+    let mut scheduler = scheduler();
+    let (first, _) = scheduler
+        .place(MS, &table, &request(7, 1))
+        .expect("a place");
     let again = PlacementRequest {
         tried: vec![first.id.clone()],
-        ..need(7, 1)
+        ..request(7, 1)
     };
-    let (second, _) = engines.place(MS, &board, &again).expect("a place");
+    let (second, _) = scheduler.place(MS, &table, &again).expect("a place");
     assert_ne!(first.id, second.id);
     let all = PlacementRequest {
         tried: vec![first.id, second.id],
-        ..need(7, 1)
+        ..request(7, 1)
     };
-    assert!(engines.place(MS, &board, &all).is_none());
+    assert!(scheduler.place(MS, &table, &all).is_none());
 }
 
 #[test]
-fn near_inputs() {
-    let board = board(2);
-    let mut engines = engines();
-    let near = PlacementRequest {
+fn local_inputs() {
+    let table = table(2);
+    let mut scheduler = scheduler();
+    let local = PlacementRequest {
         segments: vec![PromptSegment { id: 9, tokens: 100 }],
         prompt_tokens: 100,
         inputs: vec![(Arc::from("b"), 4_000_000)],
-        ..need(7, 1)
+        ..request(7, 1)
     };
     for _ in 0..3 {
-        let (target, ticket) = engines.place(MS, &board, &near).expect("a place");
+        let (target, ticket) = scheduler.place(MS, &table, &local).expect("a place");
         assert_eq!(&*target.hall, "b");
-        engines.record_end(ticket);
+        scheduler.record_end(ticket);
     }
 }
 
 #[test]
-fn lost_ends() {
-    // A request whose node was lost does not count for ever.
-    let board = board(1);
-    let mut engines = engines();
+fn unreported_end() {
+    // A request whose node was lost is dropped after its deadline.
+    let table = table(1);
+    let mut scheduler = scheduler();
     for own in 0..40 {
-        engines
-            .place(MS, &board, &need(own, 1000 + own))
+        scheduler
+            .place(MS, &table, &request(own, 1000 + own))
             .expect("a place");
     }
-    let (_, ticket) = engines
-        .place(20_000 * MS, &board, &need(7, 1))
+    let (_, ticket) = scheduler
+        .place(20_000 * MS, &table, &request(7, 1))
         .expect("a place");
-    assert!(engines.target_of(ticket).is_some());
+    assert!(scheduler.target_of(ticket).is_some());
     assert!(
-        engines.target_of(1).is_none(),
-        "forgotten after its deadline"
+        scheduler.target_of(1).is_none(),
+        "dropped after its deadline"
     );
 }
--- a/packages/turnford-policy/tests/limit_board.rs
+++ b/packages/turnford-policy/tests/limit_board.rs
@@ -1,4 +1,4 @@
-//! The limits of targets, as one node knows them.
+//! Limits of targets as known to one node.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
     "b1".into()
 }
 
-fn listed(born: u64) -> TargetTable {
+fn listed(process_start: u64) -> TargetTable {
     let target = TargetSpec {
         id: id(),
-        process_start: born,
+        process_start,
         service: "booking".into(),
         address: "127.0.0.1:1".parse().expect("an address"),
         hall: "a".into(),
@@ -27,12 +27,12 @@
         orders: 0,
         leaving: false,
     };
-    let mut board = TargetTable::default();
-    board.set_targets([target].iter());
-    board
+    let mut table = TargetTable::default();
+    table.set_targets([target].iter());
+    table
 }
 
-fn named(at: Duration) -> LimitObservation {
+fn observed(at: Duration) -> LimitObservation {
     LimitObservation {
         signal: LimitSignal::Rate(1.0),
         sent_at: at,
@@ -40,20 +40,20 @@
     }
 }
 
-/// A board that knows of a limit of the first process.
+/// Returns a table that knows a limit of the first process.
 fn limited() -> LimitTable {
     let mut limits = LimitTable::default();
     limits.retain_listed(SECOND, &listed(1));
     assert_eq!(
-        limits.observe(&id(), 1, named(SECOND)),
+        limits.observe(&id(), 1, observed(SECOND)),
         Some(LimitState::Free)
     );
     limits
 }
 
 #[test]
-fn kept_at_once() {
-    // Nothing more is sent without a permit, whoever divides knows of the limit or not.
+fn applies_at_once() {
+    // Calls need a permit even before the allocator knows of the limit.
     let mut limits = limited();
     assert!(!limits.try_acquire(SECOND, "b1"));
     limits.add_permit("b1", 2 * SECOND);
@@ -70,7 +70,7 @@
 
 #[test]
 fn missing_entry() {
-    // An entry that lapses and is written again does not end a limit.
+    // A store entry that lapses and is rewritten does not end a limit.
     let mut limits = limited();
     limits.retain_listed(2 * SECOND, &TargetTable::default());
     limits.retain_listed(9 * SECOND, &listed(1));
@@ -82,18 +82,18 @@
 
 #[test]
 fn other_process() {
-    // Neither the limit of a process that has ended holds, nor another node's old word of it.
+    // Neither the limit of an ended process nor another node's old announcement of it applies.
     let mut limits = limited();
     limits.retain_listed(2 * SECOND, &listed(2));
     assert!(limits.try_acquire(2 * SECOND, "b1"));
     assert!(!limits.apply(2 * SECOND, &id(), 1, 9, LimitState::Limited(1.0)));
-    assert_eq!(limits.observe(&id(), 1, named(2 * SECOND)), None);
+    assert_eq!(limits.observe(&id(), 1, observed(2 * SECOND)), None);
     assert!(!limits.has_limits());
 }
 
 #[test]
-fn numbered_words() {
-    // The divider's words hold by their numbers; another divider's are numbered anew.
+fn sequenced_announcements() {
+    // The allocator's announcements apply by sequence number, and a new allocator starts its own.
     let mut limits = limited();
     assert!(limits.apply(SECOND, &id(), 1, 2, LimitState::Easing));
     assert!(!limits.apply(SECOND, &id(), 1, 1, LimitState::Limited(4.0)));
--- a/packages/turnford-policy/tests/retry_window.rs
+++ b/packages/turnford-policy/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! Over all nodes no window holds more repeats than its share of the requests and the slack.
+//! Over all nodes, no window has more retries than the ratio of the requests and the slack allow.
 
 mod common;
 
@@ -16,18 +16,18 @@
 struct Step {
     node: usize,
     pause_ms: u64,
-    firsts: usize,
-    repeats: usize,
+    first_attempts: usize,
+    retries: usize,
     restarts: bool,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     (0_usize..8, 0_u64..800, 0_usize..12, 0_usize..30, 0_u8..40).prop_map(
-        |(node, pause_ms, firsts, repeats, restart)| Step {
+        |(node, pause_ms, first_attempts, retries, restart)| Step {
             node,
             pause_ms,
-            firsts,
-            repeats,
+            first_attempts,
+            retries,
             restarts: restart == 0,
         },
     )
@@ -37,37 +37,38 @@
     #![proptest_config(histories(200))]
 
     #[test]
-    fn never_over(steps in prop::collection::vec(step(), 1..150)) {
-        // Each node has the slack's part of ten nodes, as many as may live.
-        let fresh = || RetryAllowance::new(WINDOW, RATIO, SLACK / 10.0);
-        let mut nodes: Vec<RetryAllowance> = (0..8).map(|_| fresh()).collect();
+    fn never_exceeded(steps in prop::collection::vec(step(), 1..150)) {
+        // Each node has a tenth of the slack, for up to ten live nodes.
+        let new_allowance = || RetryAllowance::new(WINDOW, RATIO, SLACK / 10.0);
+        let mut nodes: Vec<RetryAllowance> = (0..8).map(|_| new_allowance()).collect();
         let mut restarted = 0_u32;
         let mut now = Duration::ZERO;
-        let mut firsts: Vec<Duration> = Vec::new();
-        let mut repeats: Vec<Duration> = Vec::new();
+        let mut first_attempts: Vec<Duration> = Vec::new();
+        let mut retries: Vec<Duration> = Vec::new();
         for step in steps {
             now += Duration::from_millis(step.pause_ms);
             if step.restarts && restarted < 2 {
-                // A new process has an empty window; two nodes' parts of the slack are spare.
-                nodes[step.node] = fresh();
+                // A restarted process has an empty window. The slack parts of two nodes are spare.
+                nodes[step.node] = new_allowance();
                 restarted += 1;
             }
-            for _ in 0..step.firsts {
+            for _ in 0..step.first_attempts {
                 nodes[step.node].record_first_attempt(now);
-                firsts.push(now);
+                first_attempts.push(now);
             }
-            for _ in 0..step.repeats {
+            for _ in 0..step.retries {
                 if nodes[step.node].try_take(now) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
-            let begin = now.saturating_sub(WINDOW);
-            let within = |at: &&Duration| **at >= begin;
-            let asked = firsts.iter().filter(within).count() as f64;
-            let made = repeats.iter().filter(within).count() as f64;
-            // The ratio's repeats of a process that is gone count beside the new one's.
-            let lost = if restarted > 0 { RATIO * asked } else { 0.0 };
-            prop_assert!(made <= RATIO * asked + SLACK + lost, "{made} repeats for {asked}");
+            let start = now.saturating_sub(WINDOW);
+            let within = |at: &&Duration| **at >= start;
+            let requests = first_attempts.iter().filter(within).count() as f64;
+            let sent = retries.iter().filter(within).count() as f64;
+            // Retries that the ratio allowed an ended process count in addition to those of its
+            // successor.
+            let lost = if restarted > 0 { RATIO * requests } else { 0.0 };
+            prop_assert!(sent <= RATIO * requests + SLACK + lost, "{sent} retries for {requests}");
         }
     }
 }
--- a/packages/turnford-policy/tests/route_table.rs
+++ b/packages/turnford-policy/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! A request's route is that of its host with the longest prefix; keys stand for accounts.
+//! Requests are routed by host and longest path prefix, and API keys map to accounts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn left_out() {
+fn skipped_stage() {
     let stages = [stage(&[]), stage(&[0]), stage(&[1])];
     let graph = StageGraph::new(&stages, |number| u32::from(number != 1));
     assert_eq!(graph.inputs(2), [] as [usize; 0]);
--- a/packages/turnford-policy/tests/store_eras.rs
+++ b/packages/turnford-policy/tests/store_eras.rs
@@ -1,5 +1,5 @@
-//! The targets as several nodes know them while the store comes back from copies of itself, over lists,
-//! watches and news between nodes that are late or lost.
+//! The target lists of several nodes while the store is restored from backups, and lists, watches
+//! and updates between nodes are late or lost.
 
 mod common;
 
@@ -16,34 +16,34 @@
 use turnford_policy::TargetSpec;
 use turnford_policy::TargetUpdate;
 
-/// Time that passes with each step.
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(100);
 
-/// Time after which everything is as the store says: entries are written again within two seconds, and
-/// those of targets that ended lapse within five.
+/// Time after which the lists match the store. Entries are rewritten within two seconds, and those
+/// of ended targets lapse within five.
 const SETTLED: Duration = Duration::from_secs(6);
 
 const NODES: usize = 3;
 
-/// A runner, alive or not.
+/// A simulated target, alive or not.
 #[derive(Clone, Debug)]
-struct Runner {
+struct SimTarget {
     spec: TargetSpec,
     is_alive: bool,
 }
 
-/// A change of an entry, `None` where it went.
+/// A change of an entry. `None` if it was removed.
 type Change = (u64, TargetId, Option<TargetSpec>);
 
-/// What the store holds in one era.
+/// Contents of the store in one era.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct StoreState {
     revision: u64,
     entries: BTreeMap<TargetId, TargetSpec>,
     changes: Vec<Change>,
 }
 
-impl Held {
+impl StoreState {
     fn write(&mut self, spec: &TargetSpec) {
         if self.entries.get(&spec.id) != Some(spec) {
             self.revision += 1;
@@ -61,95 +61,99 @@
     }
 }
 
-/// Something that one node was sent and may get late or never.
+/// A message to a node that may be delivered late or never.
 #[derive(Clone, Debug)]
 enum Message {
     List(StorePosition, Vec<TargetSpec>),
-    News(StorePosition, TargetUpdate),
+    Update(StorePosition, TargetUpdate),
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A runner starts, under an id that it may have had before.
+    /// A target starts, under an id that may have been used before.
     Start(usize),
     Leave(usize),
     End(usize),
-    /// The store's revision rises for other reasons.
+    /// The store's revision rises for unrelated reasons.
     Noise(u64),
-    Copy,
-    Drill,
-    /// Runners that live write their entries again, entries of others lapse.
+    Backup,
+    Restore,
+    /// Live targets rewrite their entries, and entries of others lapse.
     Rewrite,
     List(usize),
     Watch(usize),
-    Tell(usize, usize),
+    Gossip(usize, usize),
     Deliver(usize),
-    Lose(usize),
+    Discard(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let runner = || 0_usize..4;
+    let target = || 0_usize..4;
     let node = || 0_usize..NODES;
     prop_oneof![
-        3 => runner().prop_map(Step::Start),
-        2 => runner().prop_map(Step::Leave),
-        2 => runner().prop_map(Step::End),
+        3 => target().prop_map(Step::Start),
+        2 => target().prop_map(Step::Leave),
+        2 => target().prop_map(Step::End),
         1 => (1_u64..6).prop_map(Step::Noise),
-        2 => Just(Step::Copy),
-        2 => Just(Step::Drill),
+        2 => Just(Step::Backup),
+        2 => Just(Step::Restore),
         2 => Just(Step::Rewrite),
         3 => node().prop_map(Step::List),
         4 => node().prop_map(Step::Watch),
-        3 => (node(), node()).prop_map(|(from, to)| Step::Tell(from, to)),
+        3 => (node(), node()).prop_map(|(from, to)| Step::Gossip(from, to)),
         6 => (0_usize..8).prop_map(Step::Deliver),
-        1 => (0_usize..8).prop_map(Step::Lose),
+        1 => (0_usize..8).prop_map(Step::Discard),
     ]
 }
 
 #[derive(Debug, Default)]
-struct World {
+struct Simulation {
     now: Moment,
     era: u64,
-    held: Held,
-    copy: Held,
-    runners: BTreeMap<usize, Runner>,
-    born: u64,
+    store: StoreState,
+    backup: StoreState,
+    targets: BTreeMap<usize, SimTarget>,
+    last_start: u64,
     lists: Vec<TargetList>,
     messages: Vec<(usize, Message)>,
-    /// Words that a node heard in an entry: this process leaves, or has ended.
-    heard: Vec<BTreeMap<(TargetId, u64), bool>>,
+    /// Whether each process that a node knows of has announced that it is leaving, as learned from
+    /// entries.
+    announced: Vec<BTreeMap<(TargetId, u64), bool>>,
 }
 
-impl World {
-    fn place(&self) -> StorePosition {
-        StorePosition::new(self.era, self.held.revision)
+impl Simulation {
+    fn position(&self) -> StorePosition {
+        StorePosition::new(self.era, self.store.revision)
     }
 
-    fn whole(&self) -> Message {
-        Message::List(self.place(), self.held.entries.values().cloned().collect())
+    fn full_list(&self) -> Message {
+        Message::List(
+            self.position(),
+            self.store.entries.values().cloned().collect(),
+        )
     }
 
     fn rewrite(&mut self) {
-        let runners: Vec<Runner> = self.runners.values().cloned().collect();
-        let entries: Vec<TargetId> = self.held.entries.keys().cloned().collect();
+        let targets: Vec<SimTarget> = self.targets.values().cloned().collect();
+        let entries: Vec<TargetId> = self.store.entries.keys().cloned().collect();
         for id in entries {
-            let lives = |runner: &&Runner| runner.is_alive && runner.spec.id == id;
-            if !runners.iter().any(|runner| lives(&runner)) {
-                self.held.remove(&id);
+            let is_live = |target: &&SimTarget| target.is_alive && target.spec.id == id;
+            if !targets.iter().any(|target| is_live(&target)) {
+                self.store.remove(&id);
             }
         }
-        for runner in runners.iter().filter(|runner| runner.is_alive) {
-            self.held.write(&runner.spec);
+        for target in targets.iter().filter(|target| target.is_alive) {
+            self.store.write(&target.spec);
         }
     }
 
     fn run(&mut self, step: Step) {
         match step {
             Step::Start(number) => {
-                self.born += 1;
+                self.last_start += 1;
                 let spec = TargetSpec {
                     id: Arc::from(format!("t{number}")),
-                    process_start: self.born,
+                    process_start: self.last_start,
                     service: Arc::from("sprog"),
                     address: "127.0.0.1:1".parse().expect("an address"),
                     hall: Arc::from("a"),
@@ -157,39 +161,39 @@
                     orders: 0,
                     leaving: false,
                 };
-                self.held.write(&spec);
+                self.store.write(&spec);
                 let is_alive = true;
-                self.runners.insert(number, Runner { spec, is_alive });
+                self.targets.insert(number, SimTarget { spec, is_alive });
             }
             Step::Leave(number) => {
-                if let Some(runner) = self.runners.get_mut(&number) {
-                    if runner.is_alive {
-                        runner.spec.leaving = true;
-                        self.held.write(&runner.spec);
+                if let Some(target) = self.targets.get_mut(&number) {
+                    if target.is_alive {
+                        target.spec.leaving = true;
+                        self.store.write(&target.spec);
                     }
                 }
             }
             Step::End(number) => {
-                if let Some(runner) = self.runners.get_mut(&number) {
-                    runner.is_alive = false;
-                    self.held.remove(&runner.spec.id);
+                if let Some(target) = self.targets.get_mut(&number) {
+                    target.is_alive = false;
+                    self.store.remove(&target.spec.id);
                 }
             }
-            Step::Noise(count) => self.held.revision += count,
-            Step::Copy => self.copy = self.held.clone(),
-            Step::Drill => {
-                self.held = self.copy.clone();
+            Step::Noise(count) => self.store.revision += count,
+            Step::Backup => self.backup = self.store.clone(),
+            Step::Restore => {
+                self.store = self.backup.clone();
                 self.era += 1;
             }
             Step::Rewrite => self.rewrite(),
             Step::List(node) => {
-                let message = self.whole();
+                let message = self.full_list();
                 self.messages.push((node, message));
             }
             Step::Watch(node) => self.watch(node),
-            Step::Tell(from, to) => {
-                let news = self.lists[from].updates_since(None);
-                let message = Message::News(self.lists[from].position(), news);
+            Step::Gossip(from, to) => {
+                let update = self.lists[from].updates_since(None);
+                let message = Message::Update(self.lists[from].position(), update);
                 self.messages.push((to, message));
             }
             Step::Deliver(number) => {
@@ -198,7 +202,7 @@
                     self.deliver(node, message);
                 }
             }
-            Step::Lose(number) => {
+            Step::Discard(number) => {
                 if number < self.messages.len() {
                     self.messages.remove(number);
                 }
@@ -210,138 +214,141 @@
         }
     }
 
-    /// Has a node ask for changes after its place; of another era it gets the whole list instead.
+    /// Lets a node ask for changes after its position. In another era, it gets the whole list
+    /// instead.
     fn watch(&mut self, node: usize) {
         let from = self.lists[node].position();
-        if from.era != self.era || from.revision > self.held.revision {
-            let message = self.whole();
+        if from.era != self.era || from.revision > self.store.revision {
+            let message = self.full_list();
             self.deliver(node, message);
             return;
         }
-        let place = self.place();
-        let changes = self.held.changes.iter();
+        let position = self.position();
+        let changes = self.store.changes.iter();
         let new = changes.filter(|(revision, _, _)| *revision > from.revision);
         let new: Vec<Change> = new.cloned().collect();
-        self.lists[node].advance_to(place);
+        self.lists[node].advance_to(position);
         for (_, id, spec) in new {
             match spec {
                 Some(spec) => self.lists[node].put(spec),
                 None => self.lists[node].remove(self.now, &id),
             }
         }
-        self.note_heard(node);
+        self.record_announced(node);
     }
 
     fn deliver(&mut self, node: usize, message: Message) {
         let list = &mut self.lists[node];
         match message {
-            Message::List(place, entries) => {
-                // A follower drops what is older than its place.
-                if place >= list.position() {
-                    list.replace_all(self.now, place, entries);
+            Message::List(position, entries) => {
+                // A node drops lists older than its position.
+                if position >= list.position() {
+                    list.replace_all(self.now, position, entries);
                 }
             }
-            Message::News(place, news) => {
-                list.apply_update(self.now, place, news);
+            Message::Update(position, update) => {
+                list.apply_update(self.now, position, update);
             }
         }
-        self.note_heard(node);
+        self.record_announced(node);
     }
 
-    fn note_heard(&mut self, node: usize) {
-        // As it would tell others: one that is closed since it was gone before said nothing itself.
+    fn record_announced(&mut self, node: usize) {
+        // Taken from the update for other nodes: a quarantined target is closed, but has announced
+        // nothing itself.
         for listed in self.lists[node].updates_since(None).listed {
             let process = (listed.spec.id.clone(), listed.spec.process_start);
-            let heard = self.heard[node].entry(process).or_default();
-            *heard |= listed.spec.leaving;
+            let announced = self.announced[node].entry(process).or_default();
+            *announced |= listed.spec.leaving;
         }
     }
 
-    /// Checks that no node took back that a process leaves: leaving is for ever here.
+    /// Checks that no node considers a process active that has announced that it is leaving.
+    /// Leaving is final here.
     fn check(&self) -> Result<(), TestCaseError> {
-        for (list, heard) in self.lists.iter().zip(&self.heard) {
+        for (list, announced) in self.lists.iter().zip(&self.announced) {
             for (id, spec) in list.targets() {
-                let has_left = heard.get(&(id.clone(), spec.process_start)) == Some(&true);
-                prop_assert!(spec.leaving || !has_left, "{} is open again", id);
+                let has_announced = announced.get(&(id.clone(), spec.process_start)) == Some(&true);
+                prop_assert!(spec.leaving || !has_announced, "{} is open again", id);
             }
         }
         Ok(())
     }
 }
 
-/// Runs a history, and checks on the way that nothing that a process said is taken back, and at its end
-/// that each node knows what the store holds.
+/// Runs a history. Checks after each step that no announcement of a process is lost, and at the end
+/// that each node knows the contents of the store.
 fn run_history(steps: Vec<Step>) -> Result<(), TestCaseError> {
-    let mut world = World {
+    let mut simulation = Simulation {
         lists: vec![TargetList::default(); NODES],
-        heard: vec![BTreeMap::default(); NODES],
-        ..World::default()
+        announced: vec![BTreeMap::default(); NODES],
+        ..Simulation::default()
     };
     for step in steps {
-        world.run(step);
-        world.check()?;
+        simulation.run(step);
+        simulation.check()?;
     }
-    world.messages.clear();
+    simulation.messages.clear();
     for node in 0..NODES {
-        world.watch(node);
+        simulation.watch(node);
     }
-    world.rewrite();
+    simulation.rewrite();
     for node in 0..NODES {
-        world.watch(node);
+        simulation.watch(node);
     }
-    world.now += SETTLED;
+    simulation.now += SETTLED;
     for node in 0..NODES {
-        world.lists[node].expire(world.now);
-        let known: Vec<&TargetSpec> = world.lists[node].targets().values().collect();
-        let held: Vec<&TargetSpec> = world.held.entries.values().collect();
-        prop_assert_eq!(known, held);
+        simulation.lists[node].expire(simulation.now);
+        let listed: Vec<&TargetSpec> = simulation.lists[node].targets().values().collect();
+        let store: Vec<&TargetSpec> = simulation.store.entries.values().collect();
+        prop_assert_eq!(listed, store);
     }
     Ok(())
 }
 
-/// Histories that earlier rules failed at, as they were found: a process that was replaced under its id
-/// came back with the copy, words were lost to what another node told of a copied entry or to a list that
-/// came late, and targets stayed away, or stayed, for ever.
+/// Histories that failed with earlier versions: a process replaced under its id came back with a
+/// restored backup, announcements were lost to another node's update of a restored entry or to a
+/// delayed list, and targets were missing or kept forever.
 #[test]
-fn kept_histories() {
+fn past_failures() {
     use Step::*;
-    let kept = [
+    let histories_that_failed = [
         vec![
             Start(1),
-            Copy,
+            Backup,
             Leave(1),
             Watch(2),
             Start(1),
             Watch(2),
-            Drill,
+            Restore,
             Watch(2),
         ],
         vec![
             List(0),
             Start(1),
-            Tell(0, 0),
-            Tell(0, 0),
-            Tell(0, 0),
+            Gossip(0, 0),
+            Gossip(0, 0),
+            Gossip(0, 0),
             Watch(2),
             Leave(1),
             Watch(0),
-            Drill,
+            Restore,
             List(0),
             Watch(0),
             Watch(2),
-            Tell(2, 0),
+            Gossip(2, 0),
             Deliver(0),
             Deliver(4),
         ],
         vec![
             Start(0),
-            Copy,
+            Backup,
             Start(1),
             Leave(0),
             Watch(0),
-            Tell(0, 0),
-            Tell(0, 0),
-            Drill,
+            Gossip(0, 0),
+            Gossip(0, 0),
+            Restore,
             Watch(0),
             List(0),
             Start(0),
@@ -351,18 +358,18 @@
             Start(1),
             List(0),
             Watch(1),
-            Drill,
-            Tell(1, 2),
+            Restore,
+            Gossip(1, 2),
             Start(1),
             List(2),
             Deliver(1),
             List(0),
-            Drill,
+            Restore,
             Watch(1),
             End(1),
             Deliver(1),
             List(0),
-            Tell(1, 2),
+            Gossip(1, 2),
             Deliver(3),
         ],
         vec![
@@ -373,75 +380,75 @@
             List(0),
             Watch(0),
             List(0),
-            Drill,
+            Restore,
             Watch(0),
             Start(1),
             Start(1),
             Leave(0),
-            Tell(0, 0),
+            Gossip(0, 0),
             Start(1),
             Start(1),
             Start(1),
-            Tell(0, 0),
+            Gossip(0, 0),
             Start(1),
             Rewrite,
             Start(1),
-            Tell(0, 0),
+            Gossip(0, 0),
             Start(1),
-            Tell(0, 0),
+            Gossip(0, 0),
             Deliver(0),
             Start(1),
-            Copy,
+            Backup,
             Start(1),
-            Drill,
+            Restore,
             Deliver(0),
             Start(1),
             Watch(0),
-            Tell(0, 0),
-            Tell(0, 0),
-            Tell(0, 0),
+            Gossip(0, 0),
+            Gossip(0, 0),
+            Gossip(0, 0),
             Rewrite,
             Deliver(4),
         ],
         vec![
-            Drill,
+            Restore,
             Start(2),
-            Copy,
+            Backup,
             Start(2),
             Watch(2),
-            Drill,
+            Restore,
             Watch(2),
-            Drill,
+            Restore,
             Rewrite,
         ],
         vec![
-            Tell(0, 0),
-            Tell(0, 0),
+            Gossip(0, 0),
+            Gossip(0, 0),
             List(0),
             List(0),
             Deliver(0),
             Start(3),
-            Copy,
+            Backup,
             List(0),
             Leave(3),
             List(2),
-            Tell(0, 0),
-            Drill,
+            Gossip(0, 0),
+            Restore,
             List(0),
             Deliver(4),
             Watch(2),
             List(0),
-            Tell(2, 0),
+            Gossip(2, 0),
             Deliver(0),
             Deliver(6),
             Deliver(4),
         ],
         vec![
             Start(2),
-            Copy,
+            Backup,
             End(2),
             Watch(1),
-            Drill,
+            Restore,
             Watch(1),
             Start(0),
             Leave(0),
@@ -495,19 +502,19 @@
         ],
         vec![
             Start(3),
-            Copy,
+            Backup,
             Leave(3),
             Watch(1),
-            Drill,
+            Restore,
             List(0),
-            Tell(0, 0),
+            Gossip(0, 0),
             List(0),
-            Tell(0, 0),
-            Tell(0, 0),
+            Gossip(0, 0),
+            Gossip(0, 0),
             Start(3),
             Watch(1),
             List(0),
-            Drill,
+            Restore,
             Watch(1),
             List(0),
             List(1),
@@ -515,7 +522,7 @@
             Deliver(6),
         ],
     ];
-    for steps in kept {
+    for steps in histories_that_failed {
         run_history(steps.clone()).unwrap_or_else(|fault| panic!("{fault}: {steps:?}"));
     }
 }
@@ -523,10 +530,10 @@
 proptest! {
     #![proptest_config(histories(3000))]
 
-    /// Whatever happened, a node that hears the store again knows what the store holds some seconds
-    /// later, and nothing that a process said was taken back meanwhile.
+    /// After any history, a node that reaches the store again knows its contents within seconds,
+    /// and no announcement of a process was lost.
     #[test]
-    fn all_agree(steps in prop::collection::vec(step(), 1..80)) {
+    fn lists_agree(steps in prop::collection::vec(step(), 1..80)) {
         run_history(steps)?;
     }
 }
--- a/packages/turnford-policy/tests/target_board.rs
+++ b/packages/turnford-policy/tests/target_board.rs
@@ -1,4 +1,4 @@
-//! Targets that fail, refuse or are slow get less work, and come back.
+//! Targets that fail, refuse or are slow get less work, and recover.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,103 +22,103 @@
     }
 }
 
-fn board() -> TargetTable {
-    let mut board = TargetTable::default();
-    board.set_targets([target("b1"), target("b2")].iter());
-    board
+fn table() -> TargetTable {
+    let mut table = TargetTable::default();
+    table.set_targets([target("b1"), target("b2")].iter());
+    table
 }
 
-fn chosen(board: &TargetTable, now: Duration) -> String {
-    let choice = board.choose(now, &[], |_, load| load);
+fn chosen(table: &TargetTable, now: Duration) -> String {
+    let choice = table.choose(now, &[], |_, load| load);
     choice.expect("a choice").id.to_string()
 }
 
 #[test]
 fn least_loaded() {
-    let mut board = board();
-    board.record_start("b1");
-    assert_eq!(chosen(&board, MS), "b2");
-    board.record_start("b2");
-    board.record_start("b2");
-    assert_eq!(chosen(&board, MS), "b1");
-    board.record_end("b2");
-    board.record_end("b2");
-    assert_eq!(chosen(&board, MS), "b2");
+    let mut table = table();
+    table.record_start("b1");
+    assert_eq!(chosen(&table, MS), "b2");
+    table.record_start("b2");
+    table.record_start("b2");
+    assert_eq!(chosen(&table, MS), "b1");
+    table.record_end("b2");
+    table.record_end("b2");
+    assert_eq!(chosen(&table, MS), "b2");
 }
 
 #[test]
-fn told_load() {
-    // What others have there counts, less and less with time.
-    let mut board = board();
-    let mark = LoadSample {
+fn reported_load() {
+    // Calls of other nodes at a target count less with time.
+    let mut table = table();
+    let sample = LoadSample {
         running: 5,
         waiting: 3,
         slots: 6,
     };
-    board.record_load(MS, "b1", mark);
-    board.record_start("b2");
-    assert_eq!(chosen(&board, 2 * MS), "b2");
-    assert_eq!(chosen(&board, 3000 * MS), "b1");
+    table.record_load(MS, "b1", sample);
+    table.record_start("b2");
+    assert_eq!(chosen(&table, 2 * MS), "b2");
+    assert_eq!(chosen(&table, 3000 * MS), "b1");
 }
 
 #[test]
 fn pause_doubles() {
-    let mut board = board();
-    board.record_refusal(Duration::ZERO, "b1");
-    assert!(board.is_paused(200 * MS, "b1"));
-    assert!(!board.is_paused(300 * MS, "b1"));
-    board.record_refusal(300 * MS, "b1");
-    assert!(board.is_paused(700 * MS, "b1"));
-    board.record_success(300 * MS, "b1");
-    assert!(!board.is_paused(700 * MS, "b1"));
+    let mut table = table();
+    table.record_refusal(Duration::ZERO, "b1");
+    assert!(table.is_paused(200 * MS, "b1"));
+    assert!(!table.is_paused(300 * MS, "b1"));
+    table.record_refusal(300 * MS, "b1");
+    assert!(table.is_paused(700 * MS, "b1"));
+    table.record_success(300 * MS, "b1");
+    assert!(!table.is_paused(700 * MS, "b1"));
 }
 
 #[test]
 fn failing_spared() {
-    let mut board = board();
+    let mut table = table();
     for _ in 0..4 {
-        board.record_failure("b1");
+        table.record_failure("b1");
     }
     for _ in 0..5 {
-        board.record_start("b2");
+        table.record_start("b2");
     }
     assert_eq!(
-        chosen(&board, MS),
+        chosen(&table, MS),
         "b2",
-        "a failing target that is idle draws no work"
+        "an idle failing target gets no work"
     );
 }
 
 #[test]
 fn last_resort() {
-    let mut board = board();
-    board.record_refusal(Duration::ZERO, "b1");
-    board.record_refusal(Duration::ZERO, "b2");
-    assert!(board.choose(MS, &[], |_, load| load).is_some());
+    let mut table = table();
+    table.record_refusal(Duration::ZERO, "b1");
+    table.record_refusal(Duration::ZERO, "b2");
+    assert!(table.choose(MS, &[], |_, load| load).is_some());
 }
 
 #[test]
-fn leaving_passed() {
-    let mut board = board();
+fn skips_leaving() {
+    let mut table = table();
     let leaving = TargetSpec {
         leaving: true,
         ..target("b1")
     };
-    board.set_targets([leaving, target("b2")].iter());
-    assert_eq!(chosen(&board, MS), "b2");
+    table.set_targets([leaving, target("b2")].iter());
+    assert_eq!(chosen(&table, MS), "b2");
     let tried = [Arc::from("b2")];
-    assert!(board.choose(MS, &tried, |_, load| load).is_none());
+    assert!(table.choose(MS, &tried, |_, load| load).is_none());
 }
 
-/// Calls that each of sixteen equal targets gets in 14 s from twelve callers over four nodes, where a call
-/// takes 130 ms.
+/// Returns the number of calls that each of sixteen equal targets gets in 14 s from twelve callers
+/// over four nodes, with calls of 130 ms.
 fn equal_shares() -> Vec<usize> {
     let targets: Vec<TargetSpec> = (0..16)
         .map(|number| target(&format!("b{number:02}")))
         .collect();
-    let mut boards = vec![TargetTable::default(); 4];
-    for board in &mut boards {
-        board.set_targets(targets.iter());
+    let mut tables = vec![TargetTable::default(); 4];
+    for table in &mut tables {
+        table.set_targets(targets.iter());
     }
     let mut shares = vec![0; targets.len()];
     let mut running: Vec<Option<(usize, usize, Duration)>> = vec![None; 12];
@@ -127,15 +127,15 @@
         for (caller, call) in running.iter_mut().enumerate() {
             match *call {
                 Some((node, chosen, until)) if until <= now => {
-                    boards[node].record_end(&targets[chosen].id);
+                    tables[node].record_end(&targets[chosen].id);
                     *call = None;
                 }
                 Some(_) => {}
                 None => {
-                    let node = (caller + step as usize) % boards.len();
+                    let node = (caller + step as usize) % tables.len();
                     let cost = |target: &TargetSpec, load: f64| load / f64::from(target.slots);
-                    let choice = boards[node].choose(now, &[], cost).expect("a choice");
-                    boards[node].record_start(&choice.id);
+                    let choice = tables[node].choose(now, &[], cost).expect("a choice");
+                    tables[node].record_start(&choice.id);
                     let chosen = targets.iter().position(|target| target.id == choice.id);
                     let chosen = chosen.expect("a target of the list");
                     shares[chosen] += 1;
@@ -149,8 +149,9 @@
 
 #[test]
 fn equal_targets() {
-    // Each node took the first by its id of those that cost the same, so that all nodes chose alike: the four
-    // busiest targets got many times what the others did, and some got nothing.
+    // Guards against an uneven load: when each node took the first id among targets of equal cost,
+    // all nodes chose alike. The four busiest targets got many times the calls of the others, and
+    // some got none.
     let shares = equal_shares();
     let mean = shares.iter().sum::<usize>() / shares.len();
     let most = shares.iter().max().copied().unwrap_or(0);
--- a/packages/turnford-policy/tests/target_list.rs
+++ b/packages/turnford-policy/tests/target_list.rs
@@ -1,4 +1,4 @@
-//! The targets as they list themselves, with lapses, and what one node tells another of them.
+//! The list of targets with lapsed entries, and its updates between nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
 
 #[test]
 fn short_loss() {
-    // Entries can't lapse in a second, so those that are missing are gone.
+    // Entries can't lapse within a second, so missing ones were removed.
     let mut list = TargetList::default();
     list.put(target(1, false));
     list.record_store_lost(secs(10.0));
@@ -65,7 +65,7 @@
 
 #[test]
 fn lapse_told() {
-    // A node that learns of a lapsed target from another drops it at the same time.
+    // A node that learns of a lapsed target from another one removes it at the same time.
     let mut first = TargetList::default();
     first.put(target(1, false));
     first.record_store_lost(secs(10.0));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn older_refused() {
+fn rejects_outdated() {
     let mut list = TargetList::default();
     list.advance_to(StorePosition::new(0, 7));
     list.put(target(1, false));
@@ -105,24 +105,33 @@
 
 proptest! {
     #[test]
-    fn news_agree(steps in prop::collection::vec(step(), 1..900)) {
-        // Whoever takes all news, in whatever portions, knows what the teller knows.
-        let mut teller = TargetList::default();
-        let mut asker = TargetList::default();
+    fn updates_agree(steps in prop::collection::vec(step(), 1..900)) {
+        // A node that applies all updates, in whatever portions, knows the same targets as their
+        // sender.
+        let mut sender = TargetList::default();
+        let mut receiver = TargetList::default();
         let mut cursor = None;
         for (revision, step) in (1_u64..).zip(steps) {
-            teller.advance_to(StorePosition::new(0, revision));
+            sender.advance_to(StorePosition::new(0, revision));
             match step {
-                Step::Put(number, leaving) => teller.put(target(number, leaving)),
-                Step::Remove(number) => teller.remove(Moment::ZERO, &format!("t{number}")),
+                Step::Put(number, leaving) => sender.put(target(number, leaving)),
+                Step::Remove(number) => sender.remove(Moment::ZERO, &format!("t{number}")),
                 Step::Ask => {
-                    prop_assert!(asker.apply_update(secs(0.0), teller.position(), teller.updates_since(cursor)));
-                    cursor = Some(teller.newest_change());
-                    prop_assert_eq!(asker.targets(), teller.targets());
+                    prop_assert!(receiver.apply_update(
+                        secs(0.0),
+                        sender.position(),
+                        sender.updates_since(cursor),
+                    ));
+                    cursor = Some(sender.newest_change());
+                    prop_assert_eq!(receiver.targets(), sender.targets());
                 }
             }
         }
-        prop_assert!(asker.apply_update(secs(0.0), teller.position(), teller.updates_since(cursor)));
-        prop_assert_eq!(asker.targets(), teller.targets());
+        prop_assert!(receiver.apply_update(
+            secs(0.0),
+            sender.position(),
+            sender.updates_since(cursor),
+        ));
+        prop_assert_eq!(receiver.targets(), sender.targets());
     }
 }
