--- a/packages/turnford-policy/src/route/target_record.rs
+++ b/packages/turnford-policy/src/route/target_record.rs
@@ -31,7 +31,7 @@
     /// State that it announced in its answers.
     pub(super) gate: TargetGate,
     /// Calls of this node in flight.
-    pub(super) in_flight: u32,
+    pub(super) inflight: u32,
     /// Last reported load, with the calls of this node in flight at that time.
     pub(super) reported_load: Option<(Moment, LoadSample, u32)>,
     pub(super) failure_rate: f64,
@@ -47,7 +47,7 @@
             is_listed_leaving: spec.leaving,
             spec,
             gate: TargetGate::default(),
-            in_flight: 0,
+            inflight: 0,
             reported_load: None,
             failure_rate: 0.0,
             slowness: None,
@@ -75,11 +75,11 @@
     }
 
     pub(super) fn load(&self, now: Moment) -> f64 {
-        f64::from(self.in_flight) + self.peer_load(now)
+        f64::from(self.inflight) + self.peer_load(now)
     }
 
     /// Returns whether the target takes one more call of this node.
     pub(super) fn is_open(&self, now: Moment) -> bool {
-        !self.spec.leaving && self.gate.allows(now, self.in_flight + 1)
+        !self.spec.leaving && self.gate.allows(now, self.inflight + 1)
     }
 }
--- a/packages/turnford-policy/src/route/target_table.rs
+++ b/packages/turnford-policy/src/route/target_table.rs
@@ -151,7 +151,7 @@
     /// sent.
     pub fn is_within_limit(&self, now: Moment, id: &str) -> bool {
         let record = self.records.get(id);
-        record.is_some_and(|record| record.gate.allows(now, record.in_flight))
+        record.is_some_and(|record| record.gate.allows(now, record.inflight))
     }
 
     /// Returns whether a target takes one more call of this node.
@@ -234,8 +234,8 @@
     }
 
     /// Returns the number of calls of this node in flight at a target.
-    pub fn in_flight(&self, id: &str) -> u32 {
-        self.records.get(id).map_or(0, |record| record.in_flight)
+    pub fn inflight(&self, id: &str) -> u32 {
+        self.records.get(id).map_or(0, |record| record.inflight)
     }
 
     /// Chooses the untried target with the lowest cost.
@@ -307,21 +307,21 @@
     /// Records that a call of this node is sent to a target.
     pub fn record_start(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
-            record.in_flight += 1;
+            record.inflight += 1;
         }
     }
 
     /// Records that a call of this node ended, with any outcome.
     pub fn record_end(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
-            record.in_flight = record.in_flight.saturating_sub(1);
+            record.inflight = record.inflight.saturating_sub(1);
         }
     }
 
     /// Records the load reported by a target.
     pub fn record_load(&mut self, now: Moment, id: &str, sample: LoadSample) {
         if let Some(record) = self.records.get_mut(id) {
-            record.reported_load = Some((now, sample, record.in_flight));
+            record.reported_load = Some((now, sample, record.inflight));
         }
     }
 
--- a/packages/turnford-policy/tests/born_again.rs
+++ b/packages/turnford-policy/tests/born_again.rs
@@ -49,7 +49,7 @@
     assert!(!table.is_paused(2 * MS, "k1"));
     // Calls to the old process end without affecting the new one.
     table.record_start("k1");
-    assert_eq!(table.in_flight("k1"), 1);
+    assert_eq!(table.inflight("k1"), 1);
 }
 
 #[test]
--- a/packages/turnford-serve/src/plain_choice.rs
+++ b/packages/turnford-serve/src/plain_choice.rs
@@ -28,7 +28,7 @@
         let is_near = target.hall == *own_hall;
         let hall = if is_near { 0.0 } else { HALL_COST };
         // Each call takes a connection; beyond this node's part of them the target resets some.
-        let is_over = f64::from(board.in_flight(&target.id) + 1) > limit.max(1.0);
+        let is_over = f64::from(board.inflight(&target.id) + 1) > limit.max(1.0);
         let over = if is_over { OVER_COST } else { 0.0 };
         load / f64::from(target.slots.max(1)) + hall + over
     };
