--- a/packages/turnford-policy/src/route/call.rs
+++ b/packages/turnford-policy/src/route/call.rs
@@ -31,7 +31,7 @@
     pub segments: Vec<PromptSegment>,
     /// Number of pieces of each stage. Stages without pieces are skipped.
     pub pieces: Vec<u32>,
-    /// Input of the first stages.
+    /// Key that the first stages need to start.
     pub piece_key: Option<String>,
 }
 
--- a/packages/turnford-policy/src/route/flow.rs
+++ b/packages/turnford-policy/src/route/flow.rs
@@ -14,7 +14,7 @@
 use super::flow_service::OpenStage;
 use super::flow_service::Ranks;
 use super::flow_service::StageRate;
-use super::flow_service::MIN_RATE_RATIO;
+use super::flow_service::MIN_RATE;
 
 /// Id of an admitted request.
 pub type FlowTicket = u64;
@@ -220,7 +220,7 @@
             };
             let service = self.services.entry(stage.service.clone()).or_default();
             retry_at = retry_at.max(service.next_retry);
-            let duration = f64::from(stage.pieces) / service.rate(rate.nominal).max(MIN_RATE_RATIO);
+            let duration = f64::from(stage.pieces) / service.rate(rate.nominal).max(MIN_RATE);
             let next_retry = retry_at + Duration::from_secs_f64(duration);
             service.next_retry = next_retry.min(now + MAX_RETRY_AFTER);
         }
--- a/packages/turnford-policy/src/route/flow_service.rs
+++ b/packages/turnford-policy/src/route/flow_service.rs
@@ -23,9 +23,9 @@
 /// Weight of the nominal rate in each window in which the service was not busy.
 const NOMINAL_WEIGHT: f64 = 0.25;
 
-/// Lower bound of the rate as a fraction of the nominal one, so that a service whose targets were
-/// all down is tried again.
-pub(super) const MIN_RATE_RATIO: f64 = 0.2;
+/// Lower bound of the rate, as a fraction of the nominal one and in results per second, so that a
+/// service whose targets were all down is tried again.
+pub(super) const MIN_RATE: f64 = 0.2;
 
 /// Capacity of a service by its configuration and its available targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -102,7 +102,7 @@
     /// Returns the time until this number of pieces ahead of a request is done, with the more
     /// urgent ones expected to arrive meanwhile.
     pub(super) fn wait(&self, nominal: f64, ranks: Ranks, ahead: u64) -> Duration {
-        let rate = self.rate(nominal).max(MIN_RATE_RATIO);
+        let rate = self.rate(nominal).max(MIN_RATE);
         let urgent: f64 = self
             .arrival_rates
             .range(..ranks)
@@ -135,7 +135,7 @@
 
     pub(super) fn rate(&self, nominal: f64) -> f64 {
         let rate = self.rate.unwrap_or(nominal);
-        rate.clamp(nominal * MIN_RATE_RATIO, nominal.max(MIN_RATE_RATIO))
+        rate.clamp(nominal * MIN_RATE, nominal.max(MIN_RATE))
     }
 
     /// Updates the measured rate at the end of each window.
--- a/packages/turnford-policy/src/route/list.rs
+++ b/packages/turnford-policy/src/route/list.rs
@@ -20,7 +20,7 @@
 const LAPSE_GRACE: Duration = Duration::from_millis(2200);
 
 /// Minimum outage of the store in which entries can lapse. An entry lapses after three missed
-/// heartbeats, the last of which may have been due shortly before the outage.
+/// heartbeats, and the last one received may be from some time before the outage.
 const MIN_LAPSE_OUTAGE: Duration = Duration::from_millis(1500);
 
 /// Time after the store was restored from a backup during which restored entries of targets that
--- a/packages/turnford-policy/src/route/piece_work.rs
+++ b/packages/turnford-policy/src/route/piece_work.rs
@@ -25,7 +25,7 @@
     pub stage: usize,
     /// Index of the piece within the stage.
     pub piece: u32,
-    /// Input of a piece in a first stage.
+    /// Key that a piece of a first stage needs to start.
     pub piece_key: Option<Arc<str>>,
     /// Results that the piece needs.
     pub inputs: Arc<[String]>,
