--- a/packages/turnford-fleet/examples/crash_cost.rs
+++ b/packages/turnford-fleet/examples/crash_cost.rs
@@ -1,4 +1,4 @@
-//! What remembering requests that crash targets costs: time of a request's digest and of the look-up,
+//! Benchmark of crash tracking: time to compute a request digest and to look up a request, and
 //! memory of a full table.
 
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use turnford_fleet::CrashUpdate;
 use turnford_policy::RequestDigest;
 
-/// Requests in a full table.
+/// Number of requests in a full table.
 const REQUESTS: u32 = 1024;
 
-/// Crashes of each.
+/// Number of crashes per request.
 const CRASHES: u32 = 6;
 
 /// Repetitions of each measurement.
@@ -28,7 +28,7 @@
     println!("{name}: {:.2} us", span.as_secs_f64() * 1e6);
 }
 
-/// Returns the memory of this process, in bytes.
+/// Returns the resident memory of this process in bytes.
 fn memory() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|text| text.parse().ok());
--- a/packages/turnford-fleet/src/allocator_election.rs
+++ b/packages/turnford-fleet/src/allocator_election.rs
@@ -1,8 +1,9 @@
-//! Which node divides the limits of a service's targets, as one node knows it.
+//! Election of the node that allocates the limits of a service's targets, as seen by one node.
 //!
-//! No lease and no store: a node that is asked by one that finds the last divider lost, and finds it lost
-//! itself, begins a new term, and gives out a part only until the others know. A node that hears of a later
-//! term stops.
+//! The election uses neither a lease nor the store. A node that receives a request from a node that
+//! lost the last allocator, and that cannot reach this allocator either, starts a new term. It
+//! allocates only a fraction of the limits until the other nodes know. An allocator that learns of
+//! a later term stops.
 
 use turnford_policy::LimitState;
 use turnford_policy::ProcessStart;
@@ -13,32 +14,32 @@
 use crate::LimitTerm;
 use crate::Moment;
 
-/// How a node finds the one that divides.
+/// Reachability of the term holder from this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderStatus {
-    /// It was heard lately.
+    /// Heard from recently.
     Reachable,
-    /// Nothing tells.
+    /// No recent information.
     Unknown,
-    /// It gave no answer lately, or takes no work.
+    /// Did not respond recently, or does not accept work.
     Unreachable,
 }
 
-/// What a node does for one that asks for a permit.
+/// Role of a node towards a node that requests a permit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AllocationRole {
-    /// It divides.
+    /// This node allocates.
     Allocates {
-        /// Whether it did not before, so that others have to be told.
+        /// Whether it has just taken over and has to announce the term.
         is_new: bool,
     },
-    /// Another one divides.
+    /// Another node allocates.
     Remote(LimitTerm),
-    /// Another one divides that the asking node finds lost; this node has to look first.
+    /// Another node allocates, but the requesting node lost it. This node has to check first.
     Unconfirmed(LimitTerm),
 }
 
-/// Who divides.
+/// State of the election.
 #[derive(Clone, Debug)]
 pub struct AllocatorElection {
     own: AllocatorId,
@@ -47,7 +48,7 @@
 }
 
 impl AllocatorElection {
-    /// Starts without knowing who divides.
+    /// Creates a state without a known allocator.
     pub fn new(own: AllocatorId) -> Self {
         Self {
             own,
@@ -56,17 +57,18 @@
         }
     }
 
-    /// Returns the latest term known.
+    /// Returns the latest known term.
     pub fn term(&self) -> Option<&LimitTerm> {
         self.term.as_ref()
     }
 
-    /// Returns the divider if this node divides.
+    /// Returns the allocator if this node holds the term.
     pub fn allocator(&mut self) -> Option<&mut LimitAllocator> {
         self.divider.as_mut()
     }
 
-    /// Takes another node's word on who divides; true if it is new. This node stops if it is not the one.
+    /// Applies a term learned from another node, and returns whether it is later than the known
+    /// one. If another process holds it, this node stops allocating.
     pub fn observe_term(&mut self, term: &LimitTerm) -> bool {
         let is_later = self.term.as_ref().is_none_or(|known| known < term);
         if is_later {
@@ -78,41 +80,42 @@
         is_later
     }
 
-    /// Finds out who divides for a node that asks this one, knowing a term; `sight` tells of the process
-    /// that holds it, and `known` is what this node knows of limits.
+    /// Determines the role of this node for a requester that knows the term `requester_term`.
+    /// `status` reports the reachability of a term's holder, and `known` are the limits known to
+    /// this node.
     pub fn resolve<'a>(
         &mut self,
         now: Moment,
-        asked: Option<&LimitTerm>,
-        sight: impl FnOnce(&AllocatorId) -> HolderStatus,
+        requester_term: Option<&LimitTerm>,
+        status: impl FnOnce(&AllocatorId) -> HolderStatus,
         known: impl Iterator<Item = (&'a TargetId, ProcessStart, LimitState)>,
     ) -> AllocationRole {
-        if let Some(asked) = asked {
-            self.observe_term(asked);
+        if let Some(requester_term) = requester_term {
+            self.observe_term(requester_term);
         }
         if self.divider.is_some() {
             return AllocationRole::Allocates { is_new: false };
         }
         if let Some(term) = &self.term {
-            // One that ended under its name is lost.
+            // An earlier process of this node has ended, so it is unreachable.
             let is_own = term.holder.name == self.own.name;
-            let sight = if is_own {
+            let status = if is_own {
                 HolderStatus::Unreachable
             } else {
-                sight(&term.holder)
+                status(&term.holder)
             };
-            if asked < Some(term) || sight == HolderStatus::Reachable {
+            if requester_term < Some(term) || status == HolderStatus::Reachable {
                 return AllocationRole::Remote(term.clone());
             }
-            if sight == HolderStatus::Unknown {
+            if status == HolderStatus::Unknown {
                 return AllocationRole::Unconfirmed(term.clone());
             }
         }
-        self.begin(now, known);
+        self.start_term(now, known);
         AllocationRole::Allocates { is_new: true }
     }
 
-    fn begin<'a>(
+    fn start_term<'a>(
         &mut self,
         now: Moment,
         known: impl Iterator<Item = (&'a TargetId, ProcessStart, LimitState)>,
--- a/packages/turnford-fleet/src/block.rs
+++ b/packages/turnford-fleet/src/block.rs
@@ -1,103 +1,107 @@
-//! The stored claims of one range.
+//! Stored claims of one range.
 //!
-//! A claim says that a request id of an account is being run, or was. Claims are kept in
-//! generations; the oldest generation is dropped as a whole. A generation may be closed only by a
-//! node that has itself watched it for the full span on its own monotonic clock, so no wall clock,
-//! and no other machine's clock, can clear a claim early.
+//! A claim records that a request id of an account is running or has run. Claims are grouped into
+//! generations, and the oldest generation is dropped as a whole. Only a node that has observed the
+//! open generation for its full duration on its own monotonic clock may close it, so no wall clock
+//! and no other machine's clock can expire a claim early.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
 use crate::Version;
 
-/// Generations kept beside the open one. A claim lives at least this many spans.
-const CLOSED_LIMIT: usize = 2;
+/// Closed generations kept besides the open one. A claim lives for at least this many generation
+/// durations.
+const MAX_CLOSED_GENERATIONS: usize = 2;
 
-/// Most claims in one range, so that the value stays below the platform's megabyte.
-pub(crate) const CLAIM_LIMIT: usize = 20_000;
+/// Maximum number of claims in one range. Keeps the stored value below the platform's limit of one
+/// megabyte.
+pub(crate) const MAX_CLAIMS: usize = 20_000;
 
-/// Hash over account and request id; never made without the account.
+/// Hash of account and request id. The account is always included, so equal request ids of
+/// different accounts never share a key.
 pub type ClaimKey = [u8; 16];
 
-/// Who runs a claimed request: incarnation and sequence of the request's attempt ids.
+/// Owner of a claim: incarnation and sequence number from the attempt ids of the request.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, bincode::Encode, bincode::Decode,
 )]
 pub struct ClaimOwner {
     /// Incarnation of the node's process.
     pub incarnation: u64,
-    /// Number of the request in that process.
+    /// Sequence number of the request within that process.
     pub sequence: u64,
 }
 
 /// State of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub enum ClaimState {
-    /// Its owner may send the call.
+    /// The owner may send the call.
     Held,
-    /// Its owner ended with this result code after the call was sent.
+    /// The call was sent, and the owner's request ended with this result code.
     Finished(u16),
-    /// Its owner never sent the call and never will; the id may be claimed again.
+    /// The owner never sent the call and never will; the id may be claimed again.
     Released,
 }
 
-/// One claim.
+/// A claim on a request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub struct ClaimEntry {
-    /// Who claimed.
+    /// Request that holds the claim.
     pub owner: ClaimOwner,
-    /// What became of it.
+    /// Current state.
     pub state: ClaimState,
 }
 
-/// Claims of one range as stored.
+/// Claims of one range in their stored form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub struct ClaimBlock {
     /// Number of the open generation.
     pub generation: u64,
-    /// Open generation first.
+    /// Generations, the open one first.
     generations: VecDeque<BTreeMap<ClaimKey, ClaimEntry>>,
 }
 
 impl ClaimBlock {
-    /// Returns a claim, from the newest generation that has it.
+    /// Returns a claim from the newest generation that contains it.
     pub fn get(&self, key: &ClaimKey) -> Option<&ClaimEntry> {
         self.generations.iter().find_map(|claims| claims.get(key))
     }
 
-    /// Returns the number of claims.
+    /// Returns the number of claims in all generations.
     pub fn len(&self) -> usize {
         self.generations.iter().map(BTreeMap::len).sum()
     }
 
-    /// Tells whether there are no claims.
+    /// Returns whether no generation contains a claim.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Writes a claim into the open generation; an older generation's entry is replaced.
+    /// Writes a claim into the open generation and removes it from older ones.
     pub fn set(&mut self, key: ClaimKey, entry: ClaimEntry) {
-        self.set_at(0, key, entry);
+        self.insert_at(0, key, entry);
     }
 
-    /// Closes the open generation and drops the oldest one beyond those kept.
+    /// Closes the open generation and drops generations beyond the retained ones.
     pub fn rotate(&mut self) {
         self.generation += 1;
         self.generations.push_front(BTreeMap::new());
-        self.generations.truncate(CLOSED_LIMIT + 1);
+        self.generations.truncate(MAX_CLOSED_GENERATIONS + 1);
     }
 
-    /// Puts back what another form of the same range, seen before, has and this one lacks: claims never go
-    /// but with their generation, so the platform lost them. Where this one is older, what `before` says of
-    /// a claim holds. True if that changed anything.
-    pub(crate) fn restore(&mut self, before: &ClaimBlock, is_older: bool) -> bool {
+    /// Restores claims that `previous`, an earlier observation of the same range, contains and this
+    /// block lacks, and returns whether anything changed. Claims only disappear together with their
+    /// generation, so a missing claim was lost by the platform. If this block is the older version
+    /// (`is_older`), the entries of `previous` take precedence.
+    pub(crate) fn restore(&mut self, previous: &ClaimBlock, is_older: bool) -> bool {
         let mut is_changed = false;
-        for (age, claims) in before.generations.iter().enumerate() {
-            let generation = before.generation.saturating_sub(age as u64);
-            let place = self.generation.saturating_sub(generation);
-            let Some(place) = usize::try_from(place)
+        for (age, claims) in previous.generations.iter().enumerate() {
+            let generation = previous.generation.saturating_sub(age as u64);
+            let index = self.generation.saturating_sub(generation);
+            let Some(index) = usize::try_from(index)
                 .ok()
-                .filter(|place| *place <= CLOSED_LIMIT)
+                .filter(|index| *index <= MAX_CLOSED_GENERATIONS)
             else {
                 continue;
             };
@@ -107,7 +111,7 @@
                     known != *entry && (is_older || matches!(entry.state, ClaimState::Finished(_)))
                 });
                 if is_lost {
-                    self.set_at(place, *key, *entry);
+                    self.insert_at(index, *key, *entry);
                     is_changed = true;
                 }
             }
@@ -115,24 +119,25 @@
         is_changed
     }
 
-    /// Writes a claim into a generation, counted from the open one, so that each id stands once.
-    fn set_at(&mut self, place: usize, key: ClaimKey, entry: ClaimEntry) {
-        while self.generations.len() <= place {
+    /// Writes a claim into the generation at `index`, counted from the open one. Removes it from
+    /// all others, so each id occurs once.
+    fn insert_at(&mut self, index: usize, key: ClaimKey, entry: ClaimEntry) {
+        while self.generations.len() <= index {
             self.generations.push_back(BTreeMap::new());
         }
         for claims in &mut self.generations {
             claims.remove(&key);
         }
-        self.generations[place].insert(key, entry);
+        self.generations[index].insert(key, entry);
     }
 
-    /// Returns the stored form.
+    /// Encodes the block into its stored form.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain data without a limit always has a stored form.
+        // Encoding plain data without a size limit cannot fail.
         bincode::encode_to_vec(self, bincode::config::standard()).unwrap_or_default()
     }
 
-    /// Reads the stored form; `None` if it is damaged or has trailing bytes.
+    /// Decodes the stored form. Returns `None` if it is malformed or has trailing bytes.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let config = bincode::config::standard().with_limit::<4_000_000>();
         let (block, used) = bincode::decode_from_slice(bytes, config).ok()?;
@@ -140,7 +145,7 @@
     }
 }
 
-/// A block with the version at which it was read or written.
+/// A block together with the version at which it was read or written.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct VersionedBlock {
     pub(crate) version: Version,
--- a/packages/turnford-fleet/src/claim.rs
+++ b/packages/turnford-fleet/src/claim.rs
@@ -1,17 +1,19 @@
-//! Claims of one range, committed in groups by conditional update.
+//! Group commit of the claims of one range by conditional updates.
 //!
-//! Any node may run a [`ClaimCommitter`] for any range; the platform's versions keep two of them from
-//! granting the same id twice. What a lost answer leaves open is settled by reading the range again
-//! and computing the whole group anew: a claim that is there with the same owner was granted.
+//! Any node may run a [`ClaimCommitter`] for any range; the platform's object versions prevent two
+//! of them from granting the same id twice. When the response to a write is lost, the committer
+//! reads the range again and recomputes the whole group: a claim that is already stored with the
+//! same owner was granted.
 //!
-//! The platform may come back from a copy without claims that it acknowledged. A committer remembers what it
-//! saw of the range, judges by that and writes it back with the next group.
+//! The platform may be restored from a backup that lacks acknowledged claims. A committer therefore
+//! remembers the last state of the range that it observed, decides by that state, and writes
+//! missing claims back with the next group.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::block::VersionedBlock;
-use crate::block::CLAIM_LIMIT;
+use crate::block::MAX_CLAIMS;
 use crate::ClaimBlock;
 use crate::ClaimEntry;
 use crate::ClaimKey;
@@ -20,43 +22,45 @@
 use crate::Moment;
 use crate::Version;
 
-/// Number of ranges; each is one object at the platform.
+/// Number of ranges. Each is one object at the platform.
 pub const RANGE_COUNT: u16 = 8;
 
-/// Shortest time between two writes of a range: all ranges together must stay well below the platform's rate.
-const WRITE_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum time between two writes of a range. All ranges together must stay well below the
+/// platform's rate limit.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause after a fault of the platform.
-const FAULT_PAUSE: Duration = Duration::from_millis(250);
+/// Delay after an error of the platform.
+const ERROR_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Time after which a cached block is read again before anything is refused from it.
-const BLOCK_LIFE: Duration = Duration::from_secs(2);
+/// Maximum age of a cached block. An older block is read again before a request is rejected based
+/// on it.
+const BLOCK_TTL: Duration = Duration::from_secs(2);
 
-/// Time for which a generation must be watched before it is closed.
-const GENERATION_SPAN: Duration = Duration::from_secs(600);
+/// Time for which a generation must be observed before it is closed.
+const GENERATION_DURATION: Duration = Duration::from_secs(600);
 
-/// Most asks in one group.
-const GROUP_LIMIT: usize = 2_000;
+/// Maximum number of requests in one group.
+const MAX_GROUP_LEN: usize = 2_000;
 
-/// Most asks that wait.
-const QUEUE_LIMIT: usize = 10_000;
+/// Maximum number of queued requests.
+const MAX_QUEUE_LEN: usize = 10_000;
 
-/// Number of an ask inside one [`ClaimCommitter`].
+/// Id of a request within one [`ClaimCommitter`].
 pub type ClaimTicket = u64;
 
-/// What is asked of a range.
+/// A request to a range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub enum ClaimRequest {
     /// Claims an id.
     Acquire(ClaimKey, ClaimOwner),
-    /// Notes how the owner's request ended after the call was sent.
+    /// Records the result code of the owner's request after its call was sent.
     Finish(ClaimKey, ClaimOwner, u16),
-    /// Gives an id back whose call was never sent and never will be.
+    /// Releases an id whose call was never sent and never will be.
     Release(ClaimKey, ClaimOwner),
 }
 
 impl ClaimRequest {
-    /// Returns the id asked about.
+    /// Returns the id that the request refers to.
     pub fn key(&self) -> &ClaimKey {
         match self {
             ClaimRequest::Acquire(key, _)
@@ -66,149 +70,150 @@
     }
 }
 
-/// Answer to an ask.
+/// Result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub enum ClaimVerdict {
-    /// The claim is durable and the owner's alone; or the note is durable.
+    /// The claim is durable and belongs to the owner alone, or the update is durable.
     Granted,
-    /// Another request has or had the id.
+    /// Another request holds or held the id.
     Taken(ClaimEntry),
-    /// The range is full until old claims are cleared; nothing was claimed.
+    /// The range is full until old claims expire; nothing was claimed.
     Full,
-    /// The platform did not take the claim in time. It may yet be found there; the owner must not
-    /// send the call.
+    /// The platform did not accept the claim in time. The write may still take effect later, so the
+    /// owner must not send the call.
     Unavailable,
 }
 
-/// Call to the platform for a range.
+/// Platform call for a range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Read the range's object.
     Read,
-    /// Write the range's object if it has this version; 0 means absent.
+    /// Write the range's object if it has the expected version.
     Write {
-        /// Version that the object must have.
+        /// Required version of the object; 0 means absent.
         expected: Version,
         /// New value.
         bytes: Vec<u8>,
     },
 }
 
-/// How a read ended.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RangeRead {
-    /// The object, or version 0 and no bytes if it is absent.
+    /// The object, or version 0 without bytes if it is absent.
     Found(Version, Vec<u8>),
-    /// The platform did not answer.
+    /// The platform did not respond.
     Failed,
 }
 
-/// How a write ended.
+/// Result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RangeWrite {
     /// Accepted with this version.
     Accepted(Version),
-    /// The object has another version.
+    /// The object has a different version.
     Conflict,
-    /// Surely not written.
+    /// Definitely not written.
     Refused,
-    /// Not known.
+    /// Unknown: the write may or may not have taken effect.
     Lost,
 }
 
-/// What [`ClaimCommitter::step`] returns.
+/// Result of [`ClaimCommitter::step`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClaimStep {
-    /// Call to make now, its end to be given back.
+    /// Call to make now. Its result is passed to [`ClaimCommitter::handle_read`] or
+    /// [`ClaimCommitter::handle_write`].
     pub action: Option<ClaimAction>,
-    /// Answers to asks.
+    /// Results of requests that are decided.
     pub verdicts: Vec<(ClaimTicket, ClaimVerdict)>,
 }
 
-/// One ask that waits.
+/// A request that waits for a group.
 #[derive(Clone, Copy, Debug)]
-struct QueuedAsk {
+struct QueuedClaim {
     ticket: ClaimTicket,
-    ask: ClaimRequest,
-    expires: Moment,
+    request: ClaimRequest,
+    expires_at: Moment,
 }
 
-/// The call to the platform that is under way.
+/// Platform call in flight.
 #[derive(Debug)]
 enum RangeCall {
     Read,
     Write {
         block: ClaimBlock,
         rotated: bool,
-        group: Vec<(QueuedAsk, ClaimVerdict)>,
+        group: Vec<(QueuedClaim, ClaimVerdict)>,
     },
 }
 
-/// The committer of one range on one node.
+/// Committer of one range on one node.
 #[derive(Debug, Default)]
 pub struct ClaimCommitter {
-    known: Option<VersionedBlock>,
-    /// The range as last seen, while it has to be read again.
-    remembered: VersionedBlock,
-    /// Whether what is known holds claims that the platform lost.
-    is_restored: bool,
+    cached: Option<VersionedBlock>,
+    /// Last observed state of the range, kept while it has to be read again.
+    last_seen: VersionedBlock,
+    /// Whether the cached block contains claims that the platform lost.
+    has_restored_claims: bool,
     read_at: Moment,
-    queue: VecDeque<QueuedAsk>,
+    queue: VecDeque<QueuedClaim>,
     call: Option<RangeCall>,
-    next_call: Moment,
+    next_call_at: Moment,
     next_ticket: ClaimTicket,
-    /// Generation that is watched, and since when.
+    /// Observed generation, and the time since which it has been observed.
     watched: Option<(u64, Moment)>,
 }
 
 impl ClaimCommitter {
-    /// Makes a committer that knows nothing yet.
+    /// Creates a committer without a cached block.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Queues an ask that is answered before `expires`; `None` if too many wait.
-    pub fn submit(&mut self, ask: ClaimRequest, expires: Moment) -> Option<ClaimTicket> {
-        if self.queue.len() >= QUEUE_LIMIT {
+    /// Queues a request that is answered before `expires_at`. Returns `None` if the queue is full.
+    pub fn submit(&mut self, request: ClaimRequest, expires_at: Moment) -> Option<ClaimTicket> {
+        if self.queue.len() >= MAX_QUEUE_LEN {
             return None;
         }
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        self.queue.push_back(QueuedAsk {
+        self.queue.push_back(QueuedClaim {
             ticket,
-            ask,
-            expires,
+            request,
+            expires_at,
         });
         Some(ticket)
     }
 
-    /// Returns the number of claims known.
+    /// Returns the number of claims in the cached block.
     pub fn len(&self) -> usize {
-        self.known.as_ref().map_or(0, |known| known.block.len())
+        self.cached.as_ref().map_or(0, |cached| cached.block.len())
     }
 
-    /// Tells whether no claim is known.
+    /// Returns whether the cached block has no claims.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Tells whether nothing waits and no call is under way.
+    /// Returns whether no request is queued and no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.call.is_none()
     }
 
-    /// Moves on: answers what is late or already clear, and starts the next call.
+    /// Answers requests that have expired or need no write, and returns the next call.
     pub fn step(&mut self, now: Moment) -> ClaimStep {
         let mut step = ClaimStep::default();
         self.expire(now, &mut step);
-        if self.call.is_some() || self.queue.is_empty() || now < self.next_call {
+        if self.call.is_some() || self.queue.is_empty() || now < self.next_call_at {
             return step;
         }
-        let stale = now.saturating_sub(self.read_at) > BLOCK_LIFE;
-        match &self.known {
-            Some(known) if !stale => {
-                let known = known.clone();
-                self.commit(now, known, &mut step);
+        let stale = now.saturating_sub(self.read_at) > BLOCK_TTL;
+        match &self.cached {
+            Some(cached) if !stale => {
+                let cached = cached.clone();
+                self.commit(now, cached, &mut step);
             }
             _ => {
                 self.call = Some(RangeCall::Read);
@@ -218,7 +223,7 @@
         step
     }
 
-    /// Takes the end of a read.
+    /// Handles the result of a read.
     pub fn handle_read(&mut self, now: Moment, read: RangeRead) {
         debug_assert!(
             matches!(self.call, Some(RangeCall::Read)),
@@ -226,7 +231,7 @@
         );
         self.call = None;
         let RangeRead::Found(version, bytes) = read else {
-            self.next_call = now + FAULT_PAUSE;
+            self.next_call_at = now + ERROR_BACKOFF;
             return;
         };
         let block = if version == 0 {
@@ -235,24 +240,24 @@
             ClaimBlock::decode(&bytes)
         };
         let Some(mut block) = block else {
-            // A damaged value is never overwritten: claims in it may be valid.
-            self.next_call = now + FAULT_PAUSE;
+            // A malformed value is never overwritten, since the claims in it may be valid.
+            self.next_call_at = now + ERROR_BACKOFF;
             return;
         };
-        self.forget();
-        let before = std::mem::take(&mut self.remembered);
-        self.is_restored = block.restore(&before.block, version < before.version);
-        self.learn(now, version, block);
+        self.invalidate();
+        let previous = std::mem::take(&mut self.last_seen);
+        self.has_restored_claims = block.restore(&previous.block, version < previous.version);
+        self.cache_block(now, version, block);
     }
 
-    /// Keeps what is known only as what was seen of the range before.
-    fn forget(&mut self) {
-        if let Some(known) = self.known.take() {
-            self.remembered = known;
+    /// Drops the cached block, but keeps it as the last observed state of the range.
+    fn invalidate(&mut self) {
+        if let Some(cached) = self.cached.take() {
+            self.last_seen = cached;
         }
     }
 
-    /// Takes the end of a write, and returns the answers that are clear by it.
+    /// Handles the result of a write and returns the verdicts that it decides.
     pub fn handle_write(
         &mut self,
         now: Moment,
@@ -267,39 +272,39 @@
             debug_assert!(false, "no write is under way");
             return Vec::new();
         };
-        self.next_call = now + WRITE_PAUSE;
+        self.next_call_at = now + WRITE_INTERVAL;
         match write {
             RangeWrite::Accepted(version) => {
                 if rotated {
                     self.watched = Some((block.generation, now));
                 }
-                self.is_restored = false;
-                self.learn(now, version, block);
+                self.has_restored_claims = false;
+                self.cache_block(now, version, block);
                 group
                     .into_iter()
                     .map(|(queued, verdict)| (queued.ticket, verdict))
                     .collect()
             }
             RangeWrite::Conflict | RangeWrite::Lost => {
-                self.forget();
+                self.invalidate();
                 self.requeue(group);
                 Vec::new()
             }
             RangeWrite::Refused => {
-                self.next_call = now + FAULT_PAUSE;
+                self.next_call_at = now + ERROR_BACKOFF;
                 self.requeue(group);
                 Vec::new()
             }
         }
     }
 
-    /// Answers asks whose time is over.
+    /// Answers expired requests.
     ///
-    /// The claim is not released here: its owner may have asked another committer meanwhile and be
-    /// sending. Only the owner knows, and releases what it will not use.
+    /// The claim is not released here: the owner may meanwhile have asked another committer and be
+    /// sending the call. Only the owner knows, and it releases claims that it will not use.
     fn expire(&mut self, now: Moment, step: &mut ClaimStep) {
         self.queue.retain(|queued| {
-            if now < queued.expires {
+            if now < queued.expires_at {
                 return true;
             }
             step.verdicts
@@ -308,19 +313,19 @@
         });
     }
 
-    /// Computes a group against a block and starts its write, if it changes anything.
-    fn commit(&mut self, now: Moment, known: VersionedBlock, step: &mut ClaimStep) {
-        let mut block = known.block;
+    /// Applies a group of requests to a block, and starts a write if the block changed.
+    fn commit(&mut self, now: Moment, cached: VersionedBlock, step: &mut ClaimStep) {
+        let mut block = cached.block;
         let mut group = Vec::new();
-        let mut changed = self.is_restored;
+        let mut changed = self.has_restored_claims;
         let rotated = self.rotation_due(now, &block);
         if rotated {
             block.rotate();
         }
-        let count = self.queue.len().min(GROUP_LIMIT);
+        let count = self.queue.len().min(MAX_GROUP_LEN);
         for queued in self.queue.drain(..count) {
-            let (verdict, wrote) = apply_ask(&mut block, &queued.ask);
-            changed |= wrote;
+            let (verdict, has_changed) = apply_request(&mut block, &queued.request);
+            changed |= has_changed;
             group.push((queued, verdict));
         }
         if !changed {
@@ -331,7 +336,7 @@
             return;
         }
         step.action = Some(ClaimAction::Write {
-            expected: known.version,
+            expected: cached.version,
             bytes: block.encode(),
         });
         self.call = Some(RangeCall::Write {
@@ -343,34 +348,34 @@
 
     fn rotation_due(&self, now: Moment, block: &ClaimBlock) -> bool {
         self.watched.is_some_and(|(generation, since)| {
-            generation == block.generation && now.saturating_sub(since) >= GENERATION_SPAN
+            generation == block.generation && now.saturating_sub(since) >= GENERATION_DURATION
         })
     }
 
-    fn learn(&mut self, now: Moment, version: Version, block: ClaimBlock) {
+    fn cache_block(&mut self, now: Moment, version: Version, block: ClaimBlock) {
         let watched = self.watched.map(|(generation, _)| generation);
         if watched != Some(block.generation) {
             self.watched = Some((block.generation, now));
         }
         self.read_at = now;
-        self.known = Some(VersionedBlock { version, block });
+        self.cached = Some(VersionedBlock { version, block });
     }
 
-    fn requeue(&mut self, group: Vec<(QueuedAsk, ClaimVerdict)>) {
+    fn requeue(&mut self, group: Vec<(QueuedClaim, ClaimVerdict)>) {
         for (queued, _) in group.into_iter().rev() {
             self.queue.push_front(queued);
         }
     }
 }
 
-/// Applies one ask to a block; the flag tells whether the block changed.
-fn apply_ask(block: &mut ClaimBlock, ask: &ClaimRequest) -> (ClaimVerdict, bool) {
-    let known = block.get(ask.key()).copied();
-    match (*ask, known) {
+/// Applies one request to a block. The flag tells whether the block changed.
+fn apply_request(block: &mut ClaimBlock, request: &ClaimRequest) -> (ClaimVerdict, bool) {
+    let existing = block.get(request.key()).copied();
+    match (*request, existing) {
         (ClaimRequest::Acquire(_, owner), Some(entry)) if entry.owner == owner => match entry.state
         {
             ClaimState::Held => (ClaimVerdict::Granted, false),
-            // The owner gave up before; it must not send now.
+            // The owner has given up before and must not send the call now.
             _ => (ClaimVerdict::Taken(entry), false),
         },
         (ClaimRequest::Acquire(key, owner), Some(entry)) if entry.state == ClaimState::Released => {
@@ -379,7 +384,7 @@
             (ClaimVerdict::Granted, true)
         }
         (ClaimRequest::Acquire(..), Some(entry)) => (ClaimVerdict::Taken(entry), false),
-        (ClaimRequest::Acquire(..), None) if block.len() >= CLAIM_LIMIT => {
+        (ClaimRequest::Acquire(..), None) if block.len() >= MAX_CLAIMS => {
             (ClaimVerdict::Full, false)
         }
         (ClaimRequest::Acquire(key, owner), None) => {
@@ -399,15 +404,15 @@
             block.set(key, ClaimEntry { owner, state });
             (ClaimVerdict::Granted, true)
         }
-        // A release of a claim that was never written must keep a write that is still on its way
-        // from making it: the tombstone makes that write's condition fail.
+        // Releasing a claim that was never written must also prevent a delayed write from creating
+        // it: the tombstone makes the condition of that write fail.
         (ClaimRequest::Release(key, owner), None) => {
             let state = ClaimState::Released;
             block.set(key, ClaimEntry { owner, state });
             (ClaimVerdict::Granted, true)
         }
         (_, Some(entry)) => (ClaimVerdict::Taken(entry), false),
-        // The platform lost the claim; that its owner sent the call stays true.
+        // The platform lost the claim, but the owner did send the call.
         (ClaimRequest::Finish(key, owner, code), None) => {
             let state = ClaimState::Finished(code);
             block.set(key, ClaimEntry { owner, state });
--- a/packages/turnford-fleet/src/config.rs
+++ b/packages/turnford-fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration as one node has it. Versions only rise.
+//! A node's replica of the configuration. Versions never decrease.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -7,39 +7,39 @@
 
 use crate::Version;
 
-/// One object's change as nodes pass it on.
+/// A change of one object, as exchanged between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, bincode::Encode, bincode::Decode)]
 pub struct ConfigChange {
     /// Key, for example `config/account/one`.
     pub key: String,
     /// Version of the object.
     pub version: Version,
-    /// Text; `None` once the object was deleted.
+    /// Text, or `None` if the object was deleted.
     pub text: Option<String>,
 }
 
-/// By what two nodes see whether they have the same configuration.
+/// Summary by which two nodes detect that their configurations differ.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub struct ConfigDigest {
-    /// Revision up to which nothing is missing.
+    /// Revision up to which no change is missing.
     pub complete_to: Version,
     /// Highest version of any object.
     pub newest: Version,
-    /// Sum over keys and versions.
+    /// Hash over all keys and versions.
     pub checksum: u64,
 }
 
-/// All configuration objects with their versions, deleted ones among them.
+/// All configuration objects with their versions, including deleted ones.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     objects: BTreeMap<String, (Version, Option<String>)>,
-    /// Keys by version, so that what is newer than a version is found without a scan.
+    /// Keys by version. Finds the objects newer than a version without a full scan.
     by_version: BTreeMap<Version, String>,
     complete_to: Version,
 }
 
 impl ConfigView {
-    /// Takes a change; false if the node has the same or a newer version.
+    /// Applies a change. Returns false if the same or a newer version is already known.
     pub fn apply(&mut self, change: ConfigChange) -> bool {
         let known = self
             .objects
@@ -55,12 +55,13 @@
         true
     }
 
-    /// Notes that everything up to a revision was seen, from a list or an unbroken watch.
+    /// Records that all changes up to a revision were received, from a list or an uninterrupted
+    /// watch.
     pub fn advance_complete_to(&mut self, revision: Version) {
         self.complete_to = self.complete_to.max(revision);
     }
 
-    /// Returns the revision up to which nothing is missing.
+    /// Returns the revision up to which no change is missing.
     pub fn complete_to(&self) -> Version {
         self.complete_to
     }
@@ -72,7 +73,7 @@
             .map_or(0, |(version, _)| *version)
     }
 
-    /// Returns the changes after a version, oldest first, at most `limit`.
+    /// Returns at most `limit` changes after a version, oldest first.
     pub fn changes_after(&self, version: Version, limit: usize) -> Vec<ConfigChange> {
         let newer = self.by_version.range(version + 1..).take(limit);
         newer
@@ -80,7 +81,7 @@
             .collect()
     }
 
-    /// Returns the objects that were not deleted, by key.
+    /// Returns all objects that are not deleted, ordered by key.
     pub fn live(&self) -> impl Iterator<Item = (&str, Version, &str)> {
         self.objects.iter().filter_map(|(key, (version, text))| {
             let text = text.as_deref()?;
@@ -88,17 +89,17 @@
         })
     }
 
-    /// Returns the number of objects, deleted ones among them.
+    /// Returns the number of objects, including deleted ones.
     pub fn len(&self) -> usize {
         self.objects.len()
     }
 
-    /// Tells whether no object is known.
+    /// Returns whether no object is known.
     pub fn is_empty(&self) -> bool {
         self.objects.is_empty()
     }
 
-    /// Returns a sum over keys and versions by which two nodes see whether they agree.
+    /// Returns a hash over all keys and versions, equal on nodes with the same configuration.
     pub fn checksum(&self) -> u64 {
         let mut hasher = SipHasher13::new();
         for (version, key) in &self.by_version {
@@ -108,7 +109,7 @@
         hasher.finish()
     }
 
-    /// Returns the mark that probes carry.
+    /// Returns the digest that is attached to probes.
     pub fn digest(&self) -> ConfigDigest {
         ConfigDigest {
             complete_to: self.complete_to,
--- a/packages/turnford-fleet/src/crash.rs
+++ b/packages/turnford-fleet/src/crash.rs
@@ -1,10 +1,10 @@
-//! Requests under which targets crashed, as the whole fleet knows them.
+//! Fleet-wide record of requests during which targets crashed.
 //!
-//! A request that crashes the targets which run it comes again at any node, under another id. Each
-//! crash is therefore told to all nodes, by the digest of what the request asks for. A request that ran
-//! at a target when it crashed is a suspect, as are its neighbours there, and suspects run one at a
-//! time ([`TrialTable`](crate::TrialTable)): only so does a crash tell which of them it was. One
-//! that ends well is cleared; one whose targets crash while it is on trial is refused.
+//! A request that crashes its targets is retried on any node and under a different id. Crashes are
+//! therefore shared with all nodes, keyed by a digest of the request's content. Every request that
+//! ran on a target when it crashed is a suspect. Suspects run one at a time
+//! ([`TrialTable`](crate::TrialTable)), because only then does a crash identify its cause. A
+//! suspect that succeeds is cleared; a suspect whose targets crash during its trials is refused.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,84 +22,85 @@
 use crate::crash_update::CrashPart;
 use crate::crash_update::CrashUpdate;
 use crate::crash_update::TargetProcess;
-use crate::crash_update::BEGUN_POINTS;
+use crate::crash_update::BEGUN_SCORE;
 use crate::Moment;
 
-/// Points after which a request is refused: two crashes on trial that it had begun. One is not
-/// enough: a request that crashes targets, sent there before it was a suspect, may run beside it.
-const POINT_LIMIT: u32 = 4;
+/// Score at which a request is refused: two crashes during trials that had begun to run. One is not
+/// enough, because a request that crashes targets may run next to the trial if it was sent there
+/// before it became a suspect.
+const REFUSAL_SCORE: u32 = 4;
 
-/// Other targets that crash with one, after which the crash is put down to what they have in common.
-/// Where halls lost power, innocent requests would be refused.
-const WIDE_COUNT: usize = 2;
+/// Number of other targets whose simultaneous crash indicates a common cause. Without this rule, a
+/// power failure in a hall would get innocent requests refused.
+const CORRELATED_TARGETS: usize = 2;
 
-/// Time between such crashes: what the ways of the news differ by.
-const WIDE_SPAN: Duration = Duration::from_millis(50);
+/// Maximum time between correlated crashes. Covers differences in propagation delay.
+const CORRELATION_WINDOW: Duration = Duration::from_millis(50);
 
-/// Time for which such a request is refused; it doubles with each crash on trial after that. Long
-/// enough that the probes, one after each such time, cost a target every hour in the end; short
-/// enough for a request whose engines were repaired.
-const REFUSAL_SPAN: Duration = Duration::from_secs(600);
+/// Initial duration of a refusal, doubled with each further crash during a trial. One probe is
+/// admitted after each refusal, so at the maximum duration a harmful request crashes about one
+/// target per hour; a request whose engines were repaired is admitted again in reasonable time.
+const REFUSAL_DURATION: Duration = Duration::from_secs(600);
 
-/// Doublings of that time at most: an hour and twenty minutes.
-const DOUBLING_LIMIT: u32 = 3;
+/// Maximum number of doublings, for a refusal of 80 minutes.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// Time after its last crash for which a request is remembered: longer than the longest refusal.
-const MEMORY_SPAN: Duration = Duration::from_secs(2 * 3600);
+/// Time after its last crash for which a request is remembered. Longer than the longest refusal.
+const RETENTION: Duration = Duration::from_secs(2 * 3600);
 
-/// Requests that are remembered. When a further one comes, the one with the fewest crashes goes, of
-/// these the one whose last crash is the longest ago.
-const ENTRY_LIMIT: usize = 1024;
+/// Maximum number of remembered requests. If it is exceeded, the request with the lowest score is
+/// evicted, then the one with the fewest crashes, then the one with the oldest crash.
+const MAX_ENTRIES: usize = 1024;
 
-/// Crashes that are kept of a request: enough for the longest refusal.
-const CRASHES_KEPT: usize = 6;
+/// Maximum number of crashes kept per request, enough for the longest refusal.
+const MAX_CRASHES_PER_REQUEST: usize = 6;
 
-/// News in the answer to a node that knows other crashes than this one. What is left out is what would
-/// be forgotten first.
-const SNAPSHOT_LIMIT: usize = 1024;
+/// Maximum number of updates sent to a node with a different set of crashes. The omitted ones are
+/// those that would be evicted first.
+const MAX_SNAPSHOT_UPDATES: usize = 1024;
 
-/// What is known of a request before it runs.
+/// Assessment of a request before it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashVerdict {
-    /// Nothing speaks against it.
+    /// No crash counts against the request.
     Clear,
-    /// Targets crashed while they ran it, or it and others.
+    /// Targets crashed while running the request, possibly together with others.
     Suspect {
-        /// Whether it must not share a target with another suspect.
+        /// Whether the request must not share a target with another suspect.
         is_alone: bool,
-        /// Crashes that speak against it.
+        /// Number of crashes that count against the request.
         crashes: usize,
-        /// Those of them that happened while it was the only suspect there.
+        /// Number of those crashes during which it was the only suspect on the target.
         trials: usize,
     },
-    /// It crashes targets, and is refused until then.
+    /// The request crashes targets and is refused until this time.
     Refused(Moment),
 }
 
-/// All requests under which targets crashed.
+/// All requests during which targets crashed.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
     entries: BTreeMap<RequestDigest, CrashEntry>,
-    /// Starts of targets that crashed under a request on trial.
-    tried: HashMap<TargetProcess, RequestDigest>,
+    /// Target processes that crashed during a trial, with the request on trial.
+    trial_crashes: HashMap<TargetProcess, RequestDigest>,
 }
 
 impl CrashTable {
-    /// Returns the number of requests that are remembered.
+    /// Returns the number of remembered requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no request is remembered.
+    /// Returns whether no request is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes what happened to a request; false if it was known or no longer matters.
-    pub fn apply(&mut self, now: Moment, news: &CrashUpdate) -> bool {
-        let digest = RequestDigest(news.digest);
-        let at = now.saturating_sub(Duration::from_millis(u64::from(news.age_ms)));
-        match &news.event {
+    /// Applies an update. Returns false if it was already known or is no longer relevant.
+    pub fn apply(&mut self, now: Moment, update: &CrashUpdate) -> bool {
+        let digest = RequestDigest(update.digest);
+        let occurred_at = now.saturating_sub(Duration::from_millis(u64::from(update.age_ms)));
+        match &update.event {
             CrashEvent::Crashed {
                 target,
                 born,
@@ -107,81 +108,84 @@
                 is_cleared,
             } => {
                 let crash = CrashRecord {
-                    start: (target.clone(), *born),
-                    at,
+                    process: (target.clone(), *born),
+                    crashed_at: occurred_at,
                     part: *part,
                     is_cleared: *is_cleared,
                 };
-                self.note_crash(now, digest, crash)
+                self.record_crash(now, digest, crash)
             }
-            CrashEvent::EndedWell => self.note_end(digest, at),
+            CrashEvent::EndedWell => self.record_success(digest, occurred_at),
         }
     }
 
-    fn note_crash(&mut self, now: Moment, digest: RequestDigest, mut crash: CrashRecord) -> bool {
-        if now.saturating_sub(crash.at) >= MEMORY_SPAN {
+    fn record_crash(&mut self, now: Moment, digest: RequestDigest, mut crash: CrashRecord) -> bool {
+        if now.saturating_sub(crash.crashed_at) >= RETENTION {
             return false;
         }
         let entry = self.entries.entry(digest).or_default();
-        crash.is_cleared |= entry.ended_well.is_some_and(|ended| ended >= crash.at);
+        crash.is_cleared |= entry
+            .succeeded_at
+            .is_some_and(|ended| ended >= crash.crashed_at);
         if crash.part.is_trial() && !crash.is_cleared {
-            self.tried.insert(crash.start.clone(), digest);
+            self.trial_crashes.insert(crash.process.clone(), digest);
         }
         let mut known = entry.crashes.iter_mut();
-        if let Some(known) = known.find(|known| known.start == crash.start) {
+        if let Some(known) = known.find(|known| known.process == crash.process) {
             let old = (known.part, known.is_cleared);
             known.part = known.part.max(crash.part);
             known.is_cleared |= crash.is_cleared;
             return old != (known.part, known.is_cleared);
         }
-        if entry.crashes.len() >= CRASHES_KEPT && !entry.make_room(&crash) {
+        if entry.crashes.len() >= MAX_CRASHES_PER_REQUEST && !entry.evict_for(&crash) {
             return false;
         }
         entry.crashes.push(crash);
-        self.forget(now);
+        self.evict(now);
         true
     }
 
-    /// Notes that a request ended well: no crash before that was its doing.
-    fn note_end(&mut self, digest: RequestDigest, at: Moment) -> bool {
+    /// Records that a request succeeded, which clears all of its earlier crashes.
+    fn record_success(&mut self, digest: RequestDigest, ended_at: Moment) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else {
             return false;
         };
-        entry.ended_well = entry.ended_well.max(Some(at));
+        entry.succeeded_at = entry.succeeded_at.max(Some(ended_at));
         let crashes = entry.crashes.iter_mut();
-        let open = crashes.filter(|crash| !crash.is_cleared && crash.at <= at);
+        let open = crashes.filter(|crash| !crash.is_cleared && crash.crashed_at <= ended_at);
         let cleared = open.map(|crash| crash.is_cleared = true).count();
         if cleared > 0 {
-            self.tried.retain(|_, tried| *tried != digest);
+            self.trial_crashes
+                .retain(|_, trial_crashes| *trial_crashes != digest);
         }
         cleared > 0
     }
 
-    /// Returns what is known of a request.
+    /// Returns the assessment of a request.
     pub fn verdict(&self, now: Moment, digest: &RequestDigest) -> CrashVerdict {
         let Some(entry) = self.entries.get(digest) else {
             return CrashVerdict::Clear;
         };
         let crashes = entry.open_crashes();
-        let own = crashes.filter(|crash| self.counts(now, digest, entry, crash));
-        let (mut count, mut trials, mut points, mut last) = (0, 0, 0, Moment::ZERO);
+        let own = crashes.filter(|crash| self.counts_against(now, digest, entry, crash));
+        let (mut count, mut trials, mut score, mut last_crash) = (0, 0, 0, Moment::ZERO);
         for crash in own {
             count += 1;
             trials += usize::from(crash.part.is_trial());
             if crash.part.is_trial()
-                && !self.is_wide(digest, crash)
-                && !self.is_disputed(digest, crash)
+                && !self.is_correlated(digest, crash)
+                && !self.is_ambiguous(digest, crash)
             {
-                points += crash.part.points();
+                score += crash.part.score();
             }
-            last = last.max(crash.at);
+            last_crash = last_crash.max(crash.crashed_at);
         }
         if count == 0 {
             return CrashVerdict::Clear;
         }
-        if points >= POINT_LIMIT {
-            let doublings = (points - POINT_LIMIT) / BEGUN_POINTS;
-            let until = last + REFUSAL_SPAN * 2_u32.pow(doublings.min(DOUBLING_LIMIT));
+        if score >= REFUSAL_SCORE {
+            let doublings = (score - REFUSAL_SCORE) / BEGUN_SCORE;
+            let until = last_crash + REFUSAL_DURATION * 2_u32.pow(doublings.min(MAX_DOUBLINGS));
             if now < until {
                 return CrashVerdict::Refused(until);
             }
@@ -193,56 +197,60 @@
         }
     }
 
-    /// Tells whether a crash speaks against a request: it is not too old, and no request against which
-    /// more speaks was on trial at the target.
-    fn counts(
+    /// Returns whether a crash counts against a request: it must be recent, and no request with
+    /// more crashes may have been on trial on the target.
+    fn counts_against(
         &self,
         now: Moment,
         digest: &RequestDigest,
         entry: &CrashEntry,
         crash: &CrashRecord,
     ) -> bool {
-        if now.saturating_sub(crash.at) >= MEMORY_SPAN {
+        if now.saturating_sub(crash.crashed_at) >= RETENTION {
             return false;
         }
-        let tried = self.tried.get(&crash.start);
-        let tried = tried.filter(|tried| *tried != digest);
-        let other = tried.and_then(|tried| self.entries.get(tried));
+        let trial_crashes = self.trial_crashes.get(&crash.process);
+        let trial_crashes = trial_crashes.filter(|trial_crashes| *trial_crashes != digest);
+        let other = trial_crashes.and_then(|trial_crashes| self.entries.get(trial_crashes));
         crash.part.is_trial()
             || other
                 .is_none_or(|other| other.open_crashes().count() <= entry.open_crashes().count())
     }
 
-    /// Tells whether another request may have crashed the same target: it was on trial there too, as happens
-    /// while the node that places for all changes, or it ran there unsuspected, and no fewer targets crashed
-    /// under it.
-    fn is_disputed(&self, digest: &RequestDigest, crash: &CrashRecord) -> bool {
+    /// Returns whether another request may have caused the same crash. Either it was on trial there
+    /// as well, which happens while the placing node changes, or it ran there without being a
+    /// suspect and was involved in at least as many crashes.
+    fn is_ambiguous(&self, digest: &RequestDigest, crash: &CrashRecord) -> bool {
         let own = self.entries.get(digest);
         let own = own.map_or(0, |entry| entry.open_crashes().count());
         let mut others = self.entries.iter().filter(|(other, _)| *other != digest);
         others.any(|(_, entry)| {
             let mut there = entry
                 .open_crashes()
-                .filter(|other| other.start == crash.start);
+                .filter(|other| other.process == crash.process);
             there.any(|other| other.part.is_trial() || entry.open_crashes().count() >= own)
         })
     }
 
-    /// Tells whether a target crashed together with others, where the request was not on trial: trials
-    /// follow each other within milliseconds.
-    fn is_wide(&self, digest: &RequestDigest, crash: &CrashRecord) -> bool {
-        let near = self.entries.iter().flat_map(|(other, entry)| {
+    /// Returns whether a target crashed together with others on which the request was not on trial.
+    /// Crashes during its own trials are ignored, since trials may follow each other within
+    /// milliseconds.
+    fn is_correlated(&self, digest: &RequestDigest, crash: &CrashRecord) -> bool {
+        let nearby = self.entries.iter().flat_map(|(other, entry)| {
             let crashes = entry.crashes.iter();
-            let near = crashes.filter(|near| near.at.abs_diff(crash.at) <= WIDE_SPAN);
-            near.filter(move |near| other != digest || !near.part.is_trial())
+            let nearby = crashes.filter(|nearby| {
+                nearby.crashed_at.abs_diff(crash.crashed_at) <= CORRELATION_WINDOW
+            });
+            nearby.filter(move |nearby| other != digest || !nearby.part.is_trial())
         });
-        let starts = near.map(|near| &near.start);
-        let others: BTreeSet<&TargetProcess> =
-            starts.filter(|start| **start != crash.start).collect();
-        others.len() >= WIDE_COUNT
+        let processes = nearby.map(|nearby| &nearby.process);
+        let others: BTreeSet<&TargetProcess> = processes
+            .filter(|process| **process != crash.process)
+            .collect();
+        others.len() >= CORRELATED_TARGETS
     }
 
-    /// Returns the starts of targets that crashed under a request, with the time since.
+    /// Returns the target processes that crashed during a request, with the time since each crash.
     pub fn crashes(
         &self,
         now: Moment,
@@ -250,16 +258,16 @@
     ) -> impl Iterator<Item = (&TargetProcess, Duration)> {
         let entry = self.entries.get(digest);
         let crashes = entry.into_iter().flat_map(CrashEntry::open_crashes);
-        crashes.map(move |crash| (&crash.start, now.saturating_sub(crash.at)))
+        crashes.map(move |crash| (&crash.process, now.saturating_sub(crash.crashed_at)))
     }
 
-    /// Returns what is to be known of a request by nodes that know of no other: a crash on trial that others
-    /// may have caused tells no more than any crash.
+    /// Returns the updates about a request for nodes that do not know the other requests. Without
+    /// them, a crash during a trial that others may have caused counts like any shared crash.
     pub fn updates_for(&self, now: Moment, digest: &RequestDigest) -> Vec<CrashUpdate> {
         let entry = self.entries.get(digest);
         let crashes = entry.into_iter().flat_map(CrashEntry::open_crashes);
-        let news = crashes.map(|crash| {
-            let is_doubtful = self.is_wide(digest, crash) || self.is_disputed(digest, crash);
+        let update = crashes.map(|crash| {
+            let is_doubtful = self.is_correlated(digest, crash) || self.is_ambiguous(digest, crash);
             let part = if is_doubtful {
                 CrashPart::Shared
             } else {
@@ -269,28 +277,28 @@
                 part,
                 ..crash.clone()
             };
-            told.news(now, digest)
+            told.update(now, digest)
         });
-        news.collect()
+        update.collect()
     }
 
-    /// Returns the number of requests with as many crashes on trial as have one refused.
+    /// Returns the number of requests whose score reaches the refusal threshold.
     pub fn refused_count(&self) -> usize {
         let entries = self.entries.values();
         entries
-            .filter(|entry| entry.points() >= POINT_LIMIT)
+            .filter(|entry| entry.score() >= REFUSAL_SCORE)
             .count()
     }
 
-    /// Returns a sum over all crashes; two nodes that know the same have the same.
+    /// Returns a checksum over all crashes, equal on nodes that know the same crashes.
     pub fn checksum(&self) -> u64 {
         let mut sum = 0_u64;
         for (digest, entry) in &self.entries {
             for crash in &entry.crashes {
                 let mut hasher = SipHasher13::new();
                 hasher.write(&digest.0);
-                hasher.write(crash.start.0.as_bytes());
-                hasher.write_u64(crash.start.1);
+                hasher.write(crash.process.0.as_bytes());
+                hasher.write_u64(crash.process.1);
                 hasher.write_u8(crash.part as u8);
                 hasher.write_u8(u8::from(crash.is_cleared));
                 sum = sum.wrapping_add(hasher.finish());
@@ -299,33 +307,37 @@
         sum
     }
 
-    /// Returns all crashes, as another node may be told, those that matter most first.
+    /// Returns all crashes as updates for another node, the most relevant first.
     pub fn snapshot(&self, now: Moment) -> Vec<CrashUpdate> {
         let mut entries: Vec<(&RequestDigest, &CrashEntry)> = self.entries.iter().collect();
-        entries.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.weight()));
+        entries.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.priority()));
         let crashes = entries.into_iter().flat_map(|(digest, entry)| {
             let crashes = entry.crashes.iter();
             crashes.map(move |crash| (digest, crash))
         });
-        let news = crashes.map(|(digest, crash)| crash.news(now, digest));
-        news.take(SNAPSHOT_LIMIT).collect()
+        let update = crashes.map(|(digest, crash)| crash.update(now, digest));
+        update.take(MAX_SNAPSHOT_UPDATES).collect()
     }
 
-    /// Forgets what is too old, and what matters least where there is too much.
-    fn forget(&mut self, now: Moment) {
-        if self.entries.len() <= ENTRY_LIMIT {
+    /// If the table is too large, removes outdated requests and then the least relevant ones.
+    fn evict(&mut self, now: Moment) {
+        if self.entries.len() <= MAX_ENTRIES {
             return;
         }
-        let is_fresh = |entry: &CrashEntry| now.saturating_sub(entry.last()) < MEMORY_SPAN;
+        let is_fresh = |entry: &CrashEntry| now.saturating_sub(entry.last_crash()) < RETENTION;
         self.entries.retain(|_, entry| is_fresh(entry));
-        while self.entries.len() > ENTRY_LIMIT {
-            let least = self.entries.iter().min_by_key(|(_, entry)| entry.weight());
+        while self.entries.len() > MAX_ENTRIES {
+            let least = self
+                .entries
+                .iter()
+                .min_by_key(|(_, entry)| entry.priority());
             let Some(digest) = least.map(|(digest, _)| *digest) else {
                 break;
             };
             self.entries.remove(&digest);
         }
         let entries = &self.entries;
-        self.tried.retain(|_, digest| entries.contains_key(digest));
+        self.trial_crashes
+            .retain(|_, digest| entries.contains_key(digest));
     }
 }
--- a/packages/turnford-fleet/src/crash_entry.rs
+++ b/packages/turnford-fleet/src/crash_entry.rs
@@ -1,4 +1,4 @@
-//! The crashes of targets under one request.
+//! Crashes of targets during one request.
 
 use std::time::Duration;
 
@@ -13,76 +13,77 @@
 /// A crash of a target while it ran a request.
 #[derive(Clone, Debug)]
 pub(crate) struct CrashRecord {
-    pub(crate) start: TargetProcess,
-    pub(crate) at: Moment,
+    pub(crate) process: TargetProcess,
+    pub(crate) crashed_at: Moment,
     pub(crate) part: CrashPart,
-    /// Whether the request ended well after that. It is kept so that a node which missed that does not
-    /// tell of the crash as if it still counted.
+    /// Whether the request succeeded after this crash. Cleared crashes are kept, so that a node
+    /// that missed the success does not report the crash again as if it counted.
     pub(crate) is_cleared: bool,
 }
 
 impl CrashRecord {
-    /// Returns the crash as another node may be told of it.
-    pub(crate) fn news(&self, now: Moment, digest: &RequestDigest) -> CrashUpdate {
+    /// Converts the crash to an update for other nodes.
+    pub(crate) fn update(&self, now: Moment, digest: &RequestDigest) -> CrashUpdate {
         CrashUpdate {
             digest: digest.0,
             event: CrashEvent::Crashed {
-                target: self.start.0.clone(),
-                born: self.start.1,
+                target: self.process.0.clone(),
+                born: self.process.1,
                 part: self.part,
                 is_cleared: self.is_cleared,
             },
-            age_ms: to_millis(now.saturating_sub(self.at)),
+            age_ms: saturating_millis(now.saturating_sub(self.crashed_at)),
         }
     }
 }
 
-/// The crashes of one request.
+/// Crashes during one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CrashEntry {
     pub(crate) crashes: Vec<CrashRecord>,
-    /// When it last ended well after a crash.
-    pub(crate) ended_well: Option<Moment>,
+    /// Time of the latest success after a crash.
+    pub(crate) succeeded_at: Option<Moment>,
 }
 
 impl CrashEntry {
-    /// Returns when the last crash was.
-    pub(crate) fn last(&self) -> Moment {
-        let times = self.crashes.iter().map(|crash| crash.at);
+    /// Returns the time of the last crash.
+    pub(crate) fn last_crash(&self) -> Moment {
+        let times = self.crashes.iter().map(|crash| crash.crashed_at);
         times.max().unwrap_or_default()
     }
 
-    /// Returns the crashes that no good end cleared.
+    /// Returns the crashes that were not cleared by a later success.
     pub(crate) fn open_crashes(&self) -> impl Iterator<Item = &CrashRecord> {
         self.crashes.iter().filter(|crash| !crash.is_cleared)
     }
 
-    /// Returns how much speaks against the request.
-    pub(crate) fn points(&self) -> u32 {
-        self.open_crashes().map(|crash| crash.part.points()).sum()
+    /// Returns the evidence against the request.
+    pub(crate) fn score(&self) -> u32 {
+        self.open_crashes().map(|crash| crash.part.score()).sum()
     }
 
-    /// Drops the crash that matters least; false if that is the new one.
-    pub(crate) fn make_room(&mut self, new: &CrashRecord) -> bool {
-        let weight = |crash: &CrashRecord| (!crash.is_cleared, crash.part, crash.at);
+    /// Evicts the least relevant crash to make room for a new one. Returns false if the new crash
+    /// is the least relevant.
+    pub(crate) fn evict_for(&mut self, new: &CrashRecord) -> bool {
+        let priority = |crash: &CrashRecord| (!crash.is_cleared, crash.part, crash.crashed_at);
         let crashes = self.crashes.iter().enumerate();
-        let least = crashes.min_by_key(|(_, crash)| weight(crash));
-        let Some((place, least)) = least else {
+        let least = crashes.min_by_key(|(_, crash)| priority(crash));
+        let Some((index, least)) = least else {
             return true;
         };
-        if weight(least) >= weight(new) {
+        if priority(least) >= priority(new) {
             return false;
         }
-        self.crashes.remove(place);
+        self.crashes.remove(index);
         true
     }
 
-    /// Returns what its memory is worth against that of others.
-    pub(crate) fn weight(&self) -> (u32, usize, Moment) {
-        (self.points(), self.open_crashes().count(), self.last())
+    /// Returns the sort key for eviction; requests with the lowest value are evicted first.
+    pub(crate) fn priority(&self) -> (u32, usize, Moment) {
+        (self.score(), self.open_crashes().count(), self.last_crash())
     }
 }
 
-fn to_millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+fn saturating_millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
--- a/packages/turnford-fleet/src/crash_update.rs
+++ b/packages/turnford-fleet/src/crash_update.rs
@@ -1,19 +1,19 @@
-//! What nodes tell each other of requests under which targets crashed.
+//! Updates that nodes exchange about requests during which targets crashed.
 
 use turnford_policy::ProcessStart;
 use turnford_policy::DIGEST_BYTES;
 
-/// Points of a crash on trial.
-pub(crate) const BEGUN_POINTS: u32 = 2;
+/// Score of a crash during a trial that had begun to run.
+pub(crate) const BEGUN_SCORE: u32 = 2;
 
-/// Points of a crash on trial before the target showed that it had begun: it may have been in the
-/// queue, or one that crashes its target before anything shows.
-const QUEUED_POINTS: u32 = 1;
+/// Score of a crash during a trial before the target showed that it had begun to run. The request
+/// may still have been queued, or it may crash its target before any sign of progress.
+const QUEUED_SCORE: u32 = 1;
 
-/// Start of a target, which is what crashes.
+/// Process of a target: its id and its start. A crash ends a process, not the target.
 pub type TargetProcess = (String, ProcessStart);
 
-/// What one node tells another about a request.
+/// An update about one request.
 #[derive(
     Clone,
     Debug,
@@ -25,15 +25,15 @@
     serde::Deserialize,
 )]
 pub struct CrashUpdate {
-    /// Digest of what the request asks for.
+    /// Digest of the request's content.
     pub digest: [u8; DIGEST_BYTES],
-    /// What happened.
+    /// Event that occurred.
     pub event: CrashEvent,
-    /// Milliseconds since then.
+    /// Milliseconds since the event.
     pub age_ms: u32,
 }
 
-/// What happened to a request.
+/// Event in the history of a request.
 #[derive(
     Clone,
     Debug,
@@ -45,22 +45,22 @@
     serde::Deserialize,
 )]
 pub enum CrashEvent {
-    /// A target crashed while it ran the request.
+    /// A target crashed while running the request.
     Crashed {
-        /// The target's id.
+        /// Id of the target.
         target: String,
-        /// Start of its process, in milliseconds of the time of day.
+        /// Start of the target's process in milliseconds of the time of day.
         born: u64,
-        /// What it was to the target.
+        /// Involvement of the request in the crash.
         part: CrashPart,
-        /// Whether it ended well after that, so that the crash was not its doing.
+        /// Whether the request succeeded afterwards, so that it did not cause the crash.
         is_cleared: bool,
     },
-    /// It ended well.
+    /// The request succeeded.
     EndedWell,
 }
 
-/// What a request was to a target that crashed while it had it. What tells more is greater.
+/// Involvement of a request in the crash of its target. Greater values are stronger evidence.
 #[derive(
     Clone,
     Copy,
@@ -76,25 +76,25 @@
     serde::Deserialize,
 )]
 pub enum CrashPart {
-    /// One of those that it ran.
+    /// One of several requests that ran on the target.
     Shared,
-    /// The only suspect, which it had perhaps not begun to run.
+    /// The only suspect on the target, possibly not running yet.
     QueuedTrial,
-    /// The only suspect, which it had begun to run.
+    /// The only suspect on the target, and running.
     BegunTrial,
 }
 
 impl CrashPart {
-    /// Returns how much it speaks against the request.
-    pub(crate) fn points(self) -> u32 {
+    /// Returns the evidence against the request.
+    pub(crate) fn score(self) -> u32 {
         match self {
             CrashPart::Shared => 0,
-            CrashPart::QueuedTrial => QUEUED_POINTS,
-            CrashPart::BegunTrial => BEGUN_POINTS,
+            CrashPart::QueuedTrial => QUEUED_SCORE,
+            CrashPart::BegunTrial => BEGUN_SCORE,
         }
     }
 
-    /// Tells whether the request was the only suspect there.
+    /// Returns whether the request was the only suspect on the target.
     pub(crate) fn is_trial(self) -> bool {
         self != CrashPart::Shared
     }
--- a/packages/turnford-fleet/src/digest.rs
+++ b/packages/turnford-fleet/src/digest.rs
@@ -1,4 +1,4 @@
-//! What the nodes that share a pool tell each other of their work there.
+//! Load digests exchanged by the nodes that share a target pool.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -10,51 +10,52 @@
 use crate::NodeName;
 
 /// Age after which a peer's digest is dropped.
-const DIGEST_LIFE: Duration = Duration::from_secs(2);
+const DIGEST_TTL: Duration = Duration::from_secs(2);
 
-/// Short stand-in for a target's name. Two targets of one service that share a mark are each taken
-/// to have the work of both, which can cost a little time and nothing else.
+/// Short hash of a target's name. If the hashes of two targets of one service collide, each is
+/// assumed to have the load of both, which only makes scheduling slightly less efficient.
 pub type TargetHash = u16;
 
-/// Returns the mark of a target's name.
+/// Returns the hash of a target's name.
 pub fn hash_target(name: &str) -> TargetHash {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
     hasher.finish() as TargetHash
 }
 
-/// Work of one node at one service.
+/// Load of one node at one service.
 #[derive(Clone, Debug, Default, PartialEq, bincode::Encode, bincode::Decode)]
 pub struct ServiceLoad {
     /// Name of the service.
     pub service: String,
-    /// Expected milliseconds of held and promised work.
+    /// Expected milliseconds of queued and reserved work.
     pub backlog_ms: u32,
-    /// Mean milliseconds of a call as the sender measured it; 0 before it has.
+    /// Mean duration of a call in milliseconds as measured by the sender; 0 if not measured yet.
     pub mean_ms: u32,
-    /// Calls in flight by target; targets without any are left out.
+    /// Calls in flight by target; targets without any are omitted.
     pub inflight: Vec<(TargetHash, u16)>,
 }
 
-/// Work of one node.
+/// Load of one node.
 #[derive(Clone, Debug, Default, PartialEq, bincode::Encode, bincode::Decode)]
 pub struct LoadDigest {
-    /// Number of the digest; older ones that come late are dropped.
+    /// Sequence number of the digest. Digests that arrive out of order are dropped.
     pub sequence: u64,
-    /// Incarnation of the sender's process, so that a restart does not look late.
+    /// Incarnation of the sender's process, so that digests after a restart are not taken for old
+    /// ones.
     pub incarnation: u64,
     /// Services with work.
     pub services: Vec<ServiceLoad>,
 }
 
-/// Newest digests of the peers.
+/// Latest digest of each peer.
 #[derive(Debug, Default)]
 pub struct DigestTable {
     peers: BTreeMap<NodeName, (Moment, LoadDigest)>,
 }
 
 impl DigestTable {
-    /// Takes a peer's digest, unless a newer one is known.
+    /// Applies a peer's digest unless a newer one is known.
     pub fn apply(&mut self, now: Moment, peer: &str, digest: LoadDigest) {
         if let Some((_, known)) = self.peers.get(peer) {
             if known.incarnation == digest.incarnation && known.sequence >= digest.sequence {
@@ -64,23 +65,24 @@
         self.peers.insert(peer.to_owned(), (now, digest));
     }
 
-    /// Drops digests that are too old to say anything.
+    /// Drops digests that are too old to be useful.
     pub fn expire(&mut self, now: Moment) {
         self.peers
-            .retain(|_, (at, _)| now.saturating_sub(*at) <= DIGEST_LIFE);
+            .retain(|_, (received_at, _)| now.saturating_sub(*received_at) <= DIGEST_TTL);
     }
 
-    /// Returns the sequence of peers heard of lately.
+    /// Returns the number of peers with a recent digest.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Tells whether no peer was heard of lately.
+    /// Returns whether no peer has a recent digest.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// Returns the mean time of a call at one service over the peers that measured it.
+    /// Returns the mean duration of a call at one service, averaged over the peers that measured
+    /// it.
     pub fn service_mean(&self, service: &str) -> Option<Duration> {
         let loads = self.peers.values().flat_map(|(_, digest)| &digest.services);
         let known = loads.filter(|load| load.service == service && load.mean_ms > 0);
@@ -90,7 +92,8 @@
         (count > 0).then(|| Duration::from_millis(sum / count))
     }
 
-    /// Returns the peers' work at one service: seconds of backlog, and calls by target.
+    /// Returns the load of all peers at one service: backlog in seconds, and calls in flight by
+    /// target.
     pub fn service_load(&self, service: &str) -> (f64, BTreeMap<TargetHash, u32>) {
         let mut backlog_ms = 0.0;
         let mut inflight = BTreeMap::new();
--- a/packages/turnford-fleet/src/duty.rs
+++ b/packages/turnford-fleet/src/duty.rs
@@ -1,7 +1,7 @@
-//! Who tries to do a duty: rendezvous hashing over the members.
+//! Assignment of duties to members by rendezvous hashing.
 //!
-//! The choice only saves work. Two nodes that disagree on the members may both try; a conditional
-//! update or a lease at the platform decides who may.
+//! The assignment only avoids duplicate work. Two nodes with different member lists may both
+//! attempt a duty; a conditional update or a lease at the platform decides between them.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -9,22 +9,22 @@
 
 use siphasher::sip::SipHasher13;
 
-/// A thing that one or a few nodes do for all.
+/// A task that one or a few nodes perform for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Duty {
-    /// Watches the configuration for a hall.
+    /// Watching the configuration for a hall.
     Watch(String),
-    /// Commits the claims of a range.
+    /// Committing the claims of a range.
     Claims(u16),
-    /// Lends the limits of a group of accounts.
+    /// Lending the limits of a group of accounts.
     Lend(u16),
-    /// Gives orders to the targets of a service.
+    /// Sending orders to the targets of a service.
     Orders(String),
-    /// Gathers the pieces of a cell of a service's targets.
+    /// Batching the pieces for a cell of a service's targets.
     Gather(String, usize),
-    /// Places the requests of a service with model engines.
+    /// Placing the requests of a service with model engines.
     Place(String),
-    /// Removes the platform's records of nodes that are gone.
+    /// Removing the platform's records of nodes that no longer exist.
     Sweep,
 }
 
@@ -42,9 +42,9 @@
     }
 }
 
-/// Returns up to `count` members in the order in which they should do a duty.
+/// Returns up to `count` members in the order in which they are preferred for a duty.
 ///
-/// A member that leaves moves only its own duties; the others keep theirs.
+/// When a member leaves, only its own duties move to other members.
 pub fn rank_members<'a>(
     duty: &Duty,
     members: impl Iterator<Item = &'a str>,
@@ -59,17 +59,17 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// Part of the longest-running member's age over which a member takes duties.
-const SETTLED_PART: f64 = 0.5;
+/// Fraction of the longest-running member's age above which a member takes duties.
+const ELIGIBLE_AGE_RATIO: f64 = 0.5;
 
-/// Age over which every member takes duties.
-const SETTLED_AGE: Duration = Duration::from_secs(60);
+/// Age above which every member takes duties.
+const ELIGIBLE_AGE: Duration = Duration::from_secs(60);
 
-/// Tells whether a member has run long enough to take duties whose doer has state to lose. While
-/// members are restarted one after the other, duties stay with those that have not been yet; where
-/// all are new, all take them.
+/// Returns whether a member has run long enough to take duties that keep state in memory. During a
+/// rolling restart, duties stay with the members that have not been restarted yet; if all members
+/// are new, all of them take duties.
 pub fn is_duty_eligible(age: Duration, longest: Duration) -> bool {
-    age >= SETTLED_AGE || age >= longest.mul_f64(SETTLED_PART)
+    age >= ELIGIBLE_AGE || age >= longest.mul_f64(ELIGIBLE_AGE_RATIO)
 }
 
 fn weight(duty: &str, member: &str) -> u64 {
@@ -80,11 +80,11 @@
     hasher.finish()
 }
 
-/// Groups of accounts; each has one lender.
+/// Number of account groups. Each group has one lender.
 pub const ACCOUNT_GROUP_COUNT: u16 = 4;
 
-/// Returns the group whose lender lends an account's limits. It must be the same on every node, or
-/// an account would have two lenders.
+/// Returns the group whose lender manages an account's limits. The result must be the same on every
+/// node, or an account would have two lenders.
 pub fn account_group(account: &str) -> u16 {
     let mut hasher = SipHasher13::new();
     hasher.write(account.as_bytes());
--- a/packages/turnford-fleet/src/envelope.rs
+++ b/packages/turnford-fleet/src/envelope.rs
@@ -1,66 +1,70 @@
-//! The stored form of a configuration object: its text and who changed it last.
+//! Stored form of a configuration object: its text and its recent changes.
 //!
-//! A writer puts a mark of its own into each change. When the platform's answer to a write is lost,
-//! the writer reads the object back and looks for its mark, also behind later changes by others.
+//! Each writer adds a unique id to its change. When the platform's response to a write is lost, the
+//! writer reads the object back and looks for this id, which stays visible behind later changes of
+//! other writers.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Changes kept with an object.
-const CHANGE_LIMIT: usize = 20;
+/// Number of changes kept with an object.
+const MAX_CHANGES: usize = 20;
 
 /// One change of an object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EnvelopeChange {
-    /// Random mark of the writer, never used twice.
+    /// Random id of the write, never reused.
     #[serde(rename = "mark")]
     pub write_id: String,
-    /// Who wrote, as the operator's tool names itself.
+    /// Author, as given to the operator's tool.
     pub author: String,
-    /// What was done: `apply` or `delete`.
+    /// Action: `apply` or `delete`.
     pub action: String,
-    /// When, in seconds since 1970, by the writer's clock. For people only.
+    /// Time of the change in seconds since the Unix epoch, by the writer's clock. Informational
+    /// only.
     pub at: u64,
     /// Version that the change replaced; 0 for a new object.
     pub replaced: u64,
 }
 
-/// An object as stored.
+/// A configuration object in its stored form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigEnvelope {
-    /// Text; `None` once the object was deleted. Deletion is a version, too, so that an old text
-    /// never comes back by it.
+    /// Text, or `None` if the object was deleted. A deletion is a version of its own, so an old
+    /// text cannot reappear after it.
     pub text: Option<String>,
-    /// Last changes, newest first.
+    /// Most recent changes, newest first.
     pub changes: Vec<EnvelopeChange>,
 }
 
 impl ConfigEnvelope {
-    /// Returns the envelope after one more change.
+    /// Returns the envelope with one more change.
     pub fn changed(&self, text: Option<String>, change: EnvelopeChange) -> Self {
-        let older = self.changes.iter().take(CHANGE_LIMIT - 1).cloned();
+        let older = self.changes.iter().take(MAX_CHANGES - 1).cloned();
         let changes = std::iter::once(change).chain(older).collect();
         Self { text, changes }
     }
 
-    /// Tells whether a change with this mark took effect.
-    pub fn has_write(&self, mark: &str) -> bool {
-        self.changes.iter().any(|change| change.write_id == mark)
+    /// Returns whether the write with this id took effect.
+    pub fn has_write(&self, write_id: &str) -> bool {
+        self.changes
+            .iter()
+            .any(|change| change.write_id == write_id)
     }
 
-    /// Tells whether changes older than those kept may exist.
+    /// Returns whether older changes may have been dropped.
     pub fn is_truncated(&self) -> bool {
-        self.changes.len() >= CHANGE_LIMIT
+        self.changes.len() >= MAX_CHANGES
     }
 
-    /// Reads a stored value.
+    /// Decodes a stored value. Returns `None` if it is malformed.
     pub fn decode(value: &str) -> Option<Self> {
         serde_json::from_str(value).ok()
     }
 
-    /// Returns the stored value.
+    /// Encodes the envelope into its stored form.
     pub fn encode(&self) -> String {
-        // The type has no map with keys other than text, so it always has a JSON form.
+        // Encoding cannot fail: the type has no map with non-string keys.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
--- a/packages/turnford-fleet/src/lease_record.rs
+++ b/packages/turnford-fleet/src/lease_record.rs
@@ -1,18 +1,18 @@
-//! What a lease stores at the platform, and the calls that it takes.
+//! Stored form of a lease and the platform calls that maintain it.
 
 use std::time::Duration;
 
 use crate::NodeName;
 use crate::Version;
 
-/// Spans of a lease.
+/// Timing of a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
-    /// How long a renewal holds.
+    /// Time for which a renewal is valid.
     pub duration: Duration,
-    /// How long before its end the holder stops using it.
+    /// Safety margin before expiry during which the holder no longer uses the lease.
     pub margin: Duration,
-    /// Longest time for which an act begun under the lease can take effect after its end.
+    /// Maximum time between the start of an action under the lease and its last effect.
     pub max_action_time: Duration,
 }
 
@@ -27,28 +27,28 @@
 }
 
 impl LeaseSettings {
-    /// Returns the time after a renewal from which its holder no longer begins acts.
-    pub(crate) fn usable_span(&self) -> Duration {
+    /// Returns the time after a renewal at which its holder stops starting actions.
+    pub(crate) fn usable_time(&self) -> Duration {
         self.duration.saturating_sub(self.margin)
     }
 
-    /// Returns the time after a renewal from which no act of its holder can take effect.
-    pub(crate) fn effect_span(&self) -> Duration {
-        self.usable_span() + self.max_action_time
+    /// Returns the time after a renewal at which no action of its holder can take effect anymore.
+    pub(crate) fn effect_time(&self) -> Duration {
+        self.usable_time() + self.max_action_time
     }
 }
 
 /// Stored form of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LeaseRecord {
-    /// Node that holds it; empty once it was given back.
+    /// Node that holds the lease, or an empty name after its release.
     pub holder: NodeName,
-    /// Unique mark of the write.
+    /// Unique id of the write.
     #[serde(rename = "mark")]
     pub write_id: u64,
-    /// True on a lease that was given back with nothing done under it that may still hold.
+    /// True for a released lease if nothing granted under it can still be in use.
     pub clean: bool,
-    /// Fencing token of the term; it rises from term to term.
+    /// Fencing token, which increases from term to term.
     #[serde(default)]
     pub token: Version,
     /// True while the holder waits until no earlier holder can act.
@@ -56,29 +56,29 @@
     pub pending: bool,
 }
 
-/// Call to the platform for a lease.
+/// Platform call for a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Read the lease's object.
     Read,
-    /// Write the record if the object has this version; 0 means absent.
+    /// Write the record if the object has the expected version.
     Write {
-        /// Version that the object must have.
+        /// Required version of the object; 0 means absent.
         expected: Version,
         /// Record to write.
         record: LeaseRecord,
     },
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseOutcome {
-    /// The object as read; `None` if it is absent.
+    /// The object that was read, or `None` if it is absent.
     Found(Option<(Version, LeaseRecord)>),
     /// The write was accepted with this version.
     Accepted(Version),
-    /// The object has another version.
+    /// The object has a different version.
     Conflict,
-    /// No answer, or a refusal.
+    /// The call was rejected, or no response arrived.
     Failed,
 }
--- a/packages/turnford-fleet/src/lender.rs
+++ b/packages/turnford-fleet/src/lender.rs
@@ -1,61 +1,62 @@
-//! The lender of one account's limits, on the node that holds the lease for it.
+//! Lender of one account's limits, on the node that holds the corresponding lease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::share::GrantNumber;
 use crate::share::ShareSize;
-use crate::share::GRANT_LIFE;
-use crate::share::RUN_SPAN;
+use crate::share::GRANT_TTL;
+use crate::share::MAX_RUN_TIME;
 use crate::Moment;
 use crate::NodeName;
 use crate::ShareDemand;
 use crate::ShareGrant;
 use crate::Version;
 
-/// Demand beyond what was seen that a node is lent, so that its traffic can grow.
-const HEADROOM: f64 = 1.5;
+/// Factor by which the granted rate may exceed the observed demand, so that traffic can grow.
+const DEMAND_HEADROOM: f64 = 1.5;
 
-/// Silence after which a node's even part is reserved for it.
-const SILENCE: Duration = Duration::from_secs(3);
+/// Time without contact after which a node's even share is reserved.
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time in which a new lender only listens, so that it knows what the nodes use.
-const LISTEN_SPAN: Duration = Duration::from_secs(1);
+/// Time for which a new lender only collects what the nodes currently use.
+const LISTEN_PERIOD: Duration = Duration::from_secs(1);
 
-/// A lender's time in a reply, which the node sends back with its next ask.
+/// A lender's time in a reply, which the node returns with its next request.
 ///
-/// It proves to the lender that the node received a reply made at that time, and so when the node
-/// can take its even part at the earliest. An ask alone proves nothing: it can have been on its way
-/// for long, and its reply can be lost.
+/// The returned stamp proves that the node received a reply sent at that time, and therefore bounds
+/// when the node can fall back to its even share. A request alone proves nothing: it may have been
+/// delayed, and its reply may be lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub struct LenderStamp {
-    /// Token at which the lender's term began.
+    /// Token with which the lender's term began.
     pub token: Version,
-    /// The lender's time, in milliseconds of its own clock.
+    /// Time of the lender's clock in milliseconds.
     pub millis: u64,
 }
 
-/// The nodes that a lender heard of, for all accounts of its group.
+/// Nodes in contact with a lender, shared by all accounts of its group.
 #[derive(Debug)]
 pub struct NodeContacts {
     token: Version,
-    began: Moment,
+    started_at: Moment,
     fleet_size: u32,
-    at: BTreeMap<NodeName, Moment>,
+    contacted_at: BTreeMap<NodeName, Moment>,
 }
 
-/// One grant that may still be in use.
+/// A grant that may still be in use.
 #[derive(Clone, Copy, Debug)]
 struct LentGrant {
     number: GrantNumber,
     size: ShareSize,
-    until: Moment,
+    ends_at: Moment,
 }
 
-/// What one node was lent, and what it last asked for.
+/// Grants and last demand of one node.
 ///
-/// A grant whose answer is lost leaves the node with an earlier one, so the node counts with the
-/// largest grant that it may still use: those from the newest that it said to have.
+/// If the reply with a grant is lost, the node continues with an earlier grant. The node is
+/// therefore charged with the largest of the grants that it may still use, beginning with the
+/// newest that it has reported.
 #[derive(Clone, Debug, Default)]
 struct NodeShare {
     demand: f64,
@@ -63,33 +64,36 @@
     grants: Vec<LentGrant>,
 }
 
-/// Lends one account's limits to nodes by demand. What may be in use never exceeds the limit.
+/// Lends one account's limits to nodes by demand. The shares that may be in use never exceed the
+/// limits.
 #[derive(Debug)]
 pub struct ShareLender {
     token: Version,
     sequence: u64,
     limit: ShareSize,
-    /// End of all grants of an earlier lender; until then nodes keep what they use.
-    recovers_until: Option<Moment>,
+    /// Time at which all grants of an earlier lender have expired. Until then nodes keep what they
+    /// use.
+    recovery_ends_at: Option<Moment>,
     nodes: BTreeMap<NodeName, NodeShare>,
 }
 
 impl NodeContacts {
-    /// Starts at the begin of a lease's term.
+    /// Starts tracking at the beginning of a lease term.
     pub fn new(now: Moment, token: Version, fleet_size: u32) -> Self {
         Self {
             token,
-            began: now,
+            started_at: now,
             fleet_size,
-            at: BTreeMap::new(),
+            contacted_at: BTreeMap::new(),
         }
     }
 
-    /// Notes the stamp that a node sent back, and returns the stamp for the reply.
+    /// Records the stamp that a node returned, and returns the stamp for the reply.
     pub fn record_contact(&mut self, now: Moment, node: &str, stamp: LenderStamp) -> LenderStamp {
-        self.at.retain(|_, at| now.saturating_sub(*at) < SILENCE);
+        self.contacted_at
+            .retain(|_, contacted_at| now.saturating_sub(*contacted_at) < CONTACT_TIMEOUT);
         if stamp.token == self.token {
-            self.at
+            self.contacted_at
                 .insert(node.to_owned(), Duration::from_millis(stamp.millis));
         }
         LenderStamp {
@@ -98,81 +102,82 @@
         }
     }
 
-    /// Tells whether all grants of earlier lenders are over, and the requests that began under them.
+    /// Returns whether all grants of earlier lenders, and the requests started under them, are
+    /// over.
     pub fn has_outlived_grants(&self, now: Moment) -> bool {
-        now >= self.began + GRANT_LIFE + RUN_SPAN
+        now >= self.started_at + GRANT_TTL + MAX_RUN_TIME
     }
 
-    fn is_heard(&self, now: Moment, node: &str) -> bool {
-        let at = self.at.get(node);
-        at.is_some_and(|at| now.saturating_sub(*at) < SILENCE)
+    fn is_in_contact(&self, now: Moment, node: &str) -> bool {
+        let contacted_at = self.contacted_at.get(node);
+        contacted_at.is_some_and(|contacted_at| now.saturating_sub(*contacted_at) < CONTACT_TIMEOUT)
     }
 
-    /// Returns how many nodes there may be that were not heard of.
-    fn silent(&self, now: Moment) -> u32 {
-        let heard = self
-            .at
+    /// Returns the maximum number of nodes that exist without being in contact.
+    fn silent_count(&self, now: Moment) -> u32 {
+        let contacts = self
+            .contacted_at
             .values()
-            .filter(|at| now.saturating_sub(**at) < SILENCE);
-        self.fleet_size.saturating_sub(heard.count() as u32)
+            .filter(|contacted_at| now.saturating_sub(**contacted_at) < CONTACT_TIMEOUT);
+        self.fleet_size.saturating_sub(contacts.count() as u32)
     }
 }
 
 impl ShareLender {
-    /// Starts a lender under a lease's token, at the begin of its term. Unless nothing of an earlier
-    /// lender may still hold (`is_first`), nodes first keep what they use.
-    pub fn new(began: Moment, token: Version, limit: ShareSize, is_first: bool) -> Self {
+    /// Starts a lender under a lease token at the beginning of its term. Unless nothing granted by
+    /// an earlier lender can still be in use (`is_first`), nodes first keep what they use.
+    pub fn new(started_at: Moment, token: Version, limit: ShareSize, is_first: bool) -> Self {
         Self {
             token,
             sequence: 0,
             limit,
-            recovers_until: (!is_first).then_some(began + GRANT_LIFE),
+            recovery_ends_at: (!is_first).then_some(started_at + GRANT_TTL),
             nodes: BTreeMap::new(),
         }
     }
 
-    /// Sets new limits. Nodes drop their grants when the new configuration reaches them.
+    /// Sets new limits. Nodes drop their grants once they receive the new configuration.
     pub fn set_limit(&mut self, limit: ShareSize) {
         self.limit = limit;
     }
 
-    /// Tells whether nothing that was lent may still be in use, here or from an earlier lender.
+    /// Returns whether no grant of this or an earlier lender can still be in use.
     pub fn is_clear(&self, now: Moment) -> bool {
         let used = self.nodes.values().any(|node| {
             let size = node.size(now);
             size.rate > 0.0 || size.concurrency > 0
         });
-        !self.recovers(now, RUN_SPAN) && !used
+        !self.is_recovering(now, MAX_RUN_TIME) && !used
     }
 
-    /// Lends a node its share; `None` while the lender only listens. The grant holds from when the
-    /// node asked, so it ends at the node before it ends here.
+    /// Grants a node its share, or returns `None` while the lender only collects. The node measures
+    /// the validity from before its request, so the grant expires there before it expires here.
     pub fn lend(
         &mut self,
         now: Moment,
         node: &str,
         demand: &ShareDemand,
-        heard: &NodeContacts,
+        contacts: &NodeContacts,
     ) -> Option<ShareGrant> {
         self.nodes.retain(|_, other| other.expire(now));
         let mut own = self.nodes.remove(node).unwrap_or_default();
         self.confirm(now, &mut own, demand);
-        if self.recovers(now, Duration::ZERO) && now < heard.began + LISTEN_SPAN {
+        if self.is_recovering(now, Duration::ZERO) && now < contacts.started_at + LISTEN_PERIOD {
             self.nodes.insert(node.to_owned(), own);
             return None;
         }
-        let room = self.room(now, heard);
-        let size = self.size_for(now, &own, demand, room, heard.fleet_size);
+        let available = self.available(now, contacts);
+        let size = self.share_for(now, &own, demand, available, contacts.fleet_size);
         self.sequence += 1;
         let number = GrantNumber {
             token: self.token,
             sequence: self.sequence,
         };
-        let until = now + GRANT_LIFE;
+        let ends_at = now + GRANT_TTL;
         own.grants.push(LentGrant {
             number,
             size,
-            until,
+            ends_at,
         });
         self.nodes.insert(node.to_owned(), own);
         Some(ShareGrant {
@@ -182,105 +187,115 @@
         })
     }
 
-    /// Takes what the node says: grants before its newest are never used again. What it uses by an
-    /// earlier lender's grant counts until that is over.
+    /// Updates a node's state from its demand. Grants older than its newest one are never used
+    /// again. A share in use from an earlier lender is charged until it expires.
     fn confirm(&self, now: Moment, own: &mut NodeShare, demand: &ShareDemand) {
-        own.demand = demand.rate * HEADROOM;
+        own.demand = demand.rate * DEMAND_HEADROOM;
         own.running = demand.running;
         own.grants.retain(|grant| grant.number >= demand.newest);
-        if demand.newest.token < self.token && self.recovers(now, RUN_SPAN) {
+        if demand.newest.token < self.token && self.is_recovering(now, MAX_RUN_TIME) {
             own.grants.push(LentGrant {
                 number: demand.newest,
                 size: demand.using,
-                until: now + GRANT_LIFE,
+                ends_at: now + GRANT_TTL,
             });
         }
     }
 
-    /// Returns what the others leave of the limit: what they may use, the even part of each node that
-    /// was not heard of, and one place for each that was heard of and has none.
-    fn room(&self, now: Moment, heard: &NodeContacts) -> ShareSize {
-        let part = self.limit.even_share(heard.fleet_size);
-        let silent = heard.silent(now);
-        let mut rate = part.rate * f64::from(silent);
-        let mut concurrency = part.concurrency * silent;
-        let mut without = heard.fleet_size.saturating_sub(silent + 1);
+    /// Returns what the other nodes leave of the limit: subtracts their possible use, the even
+    /// share of each node that is not in contact, and one concurrent request for each node that is
+    /// in contact without a grant.
+    fn available(&self, now: Moment, contacts: &NodeContacts) -> ShareSize {
+        let even_share = self.limit.even_share(contacts.fleet_size);
+        let silent_count = contacts.silent_count(now);
+        let mut rate = even_share.rate * f64::from(silent_count);
+        let mut concurrency = even_share.concurrency * silent_count;
+        let mut without_grant = contacts.fleet_size.saturating_sub(silent_count + 1);
         for (name, node) in &self.nodes {
             let size = node.size(now);
-            if heard.is_heard(now, name) {
+            if contacts.is_in_contact(now, name) {
                 rate += size.rate;
                 concurrency += size.concurrency;
-                without = without.saturating_sub(u32::from(size.concurrency > 0));
+                without_grant = without_grant.saturating_sub(u32::from(size.concurrency > 0));
             } else {
-                // Its even part is counted among the silent.
-                rate += (size.rate - part.rate).max(0.0);
-                concurrency += size.concurrency.saturating_sub(part.concurrency);
+                // The even share of this node is already included in the silent nodes.
+                rate += (size.rate - even_share.rate).max(0.0);
+                concurrency += size.concurrency.saturating_sub(even_share.concurrency);
             }
         }
         ShareSize {
             rate: (self.limit.rate - rate).max(0.0),
-            concurrency: self.limit.concurrency.saturating_sub(concurrency + without),
+            concurrency: self
+                .limit
+                .concurrency
+                .saturating_sub(concurrency + without_grant),
         }
     }
 
-    /// Returns a node's share within the room.
+    /// Returns a node's share of the available limit.
     ///
-    /// While the demands fit into the limit, the rest is split evenly, so that a lull at one node
-    /// does not leave it without room for the next burst. Otherwise the demands share the limit.
-    fn size_for(
+    /// While the demands fit into the limit, the rest is split evenly, so that a node after a quiet
+    /// period has capacity for the next burst. Otherwise the limit is divided in proportion to the
+    /// demands.
+    fn share_for(
         &self,
         now: Moment,
         own: &NodeShare,
         demand: &ShareDemand,
-        room: ShareSize,
+        available: ShareSize,
         fleet_size: u32,
     ) -> ShareSize {
         let others: f64 = self.nodes.values().map(|other| other.demand).sum();
         let total = own.demand + others;
         let spare = (self.limit.rate - total).max(0.0) / f64::from(fleet_size.max(1));
         let scale = (self.limit.rate / total.max(1e-9)).min(1.0);
-        let part = (own.demand * scale + spare) / self.limit.rate.max(1e-9);
-        let mut fair = ShareSize {
-            rate: self.limit.rate * part,
-            // A node that asks can run at least one, whatever its part of a scarce rate.
-            concurrency: (f64::from(self.limit.concurrency) * part).floor().max(1.0) as u32,
+        let fraction = (own.demand * scale + spare) / self.limit.rate.max(1e-9);
+        let mut share = ShareSize {
+            rate: self.limit.rate * fraction,
+            // A node that asks can run at least one request, however small its fraction of a scarce
+            // rate.
+            concurrency: (f64::from(self.limit.concurrency) * fraction)
+                .floor()
+                .max(1.0) as u32,
         };
-        // Nobody gets more than it uses while an earlier lender's grants may hold; for requests
-        // that run on after them, a little longer.
-        if self.recovers(now, Duration::ZERO) {
-            fair.rate = demand.using.rate;
+        // While grants of an earlier lender may be valid, no node gets more than it uses. For the
+        // concurrency this extends to requests that continue after those grants.
+        if self.is_recovering(now, Duration::ZERO) {
+            share.rate = demand.using.rate;
         }
-        if self.recovers(now, RUN_SPAN) {
-            fair.concurrency = demand.using.concurrency;
+        if self.is_recovering(now, MAX_RUN_TIME) {
+            share.concurrency = demand.using.concurrency;
         }
-        fair.min(room)
+        share.min(available)
     }
 
-    /// Tells whether an earlier lender's grants, or what runs on for a span after them, count.
-    fn recovers(&self, now: Moment, span: Duration) -> bool {
-        self.recovers_until.is_some_and(|until| now < until + span)
+    /// Returns whether grants of an earlier lender still count, `grace` after their expiry.
+    fn is_recovering(&self, now: Moment, grace: Duration) -> bool {
+        self.recovery_ends_at
+            .is_some_and(|ends_at| now < ends_at + grace)
     }
 }
 
 impl NodeShare {
-    /// Drops what is over; false if nothing is left.
+    /// Drops expired grants. Returns false if none is left.
     fn expire(&mut self, now: Moment) -> bool {
-        self.grants.retain(|grant| now < grant.until + RUN_SPAN);
-        if self.grants.iter().all(|grant| now >= grant.until) {
+        self.grants
+            .retain(|grant| now < grant.ends_at + MAX_RUN_TIME);
+        if self.grants.iter().all(|grant| now >= grant.ends_at) {
             self.demand = 0.0;
         }
         !self.grants.is_empty()
     }
 
-    /// Returns what the node may use. Requests that started under a larger grant still run; they
-    /// count until they ended.
+    /// Returns the share that the node may use. Requests started under a larger grant are counted
+    /// until they end.
     fn size(&self, now: Moment) -> ShareSize {
-        let held = self.grants.iter().filter(|grant| now < grant.until);
+        let held = self.grants.iter().filter(|grant| now < grant.ends_at);
         let rate = held.map(|grant| grant.size.rate).fold(0.0, f64::max);
         let running = self
             .grants
             .iter()
-            .filter(|grant| now < grant.until + RUN_SPAN);
+            .filter(|grant| now < grant.ends_at + MAX_RUN_TIME);
         let most = running
             .map(|grant| grant.size.concurrency)
             .max()
--- a/packages/turnford-fleet/src/lib.rs
+++ b/packages/turnford-fleet/src/lib.rs
@@ -1,8 +1,9 @@
-//! How the nodes act together: configuration versions, membership, duties, claims, leases, shares
-//! and digests.
+//! Coordination between the nodes of a fleet: configuration replication, membership, duty
+//! assignment, claims, leases, quota shares, limit allocation, crash tracking and load digests.
 //!
-//! State machines only: events and the time go in, actions come out. What must be agreed goes
-//! through conditional updates of the platform's objects; everything else may be lost at any time.
+//! All types are sans-I/O state machines: events and the current time go in, actions come out.
+//! Decisions that need agreement go through conditional updates of the platform's objects; every
+//! other message may be lost at any time.
 
 mod allocator_election;
 mod block;
@@ -116,8 +117,8 @@
 /// Name of a node, unique in the fleet.
 pub type NodeName = String;
 
-/// Version of an object at the platform, rising over all objects.
+/// Version of an object at the platform. Versions increase monotonically across all objects.
 pub type Version = u64;
 
-/// Time since an arbitrary start, on the node's own monotonic clock.
+/// Time since an arbitrary origin, measured by the node's own monotonic clock.
 pub type Moment = std::time::Duration;
--- a/packages/turnford-fleet/src/limit_allocator.rs
+++ b/packages/turnford-fleet/src/limit_allocator.rs
@@ -1,4 +1,5 @@
-//! The limits of one service's targets, as the one node divides them that does so for all.
+//! Allocation of the call rates of one service's targets, on the one node that performs it for the
+//! whole fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,80 +20,82 @@
 use crate::PermitRanks;
 use crate::QueuedRequest;
 
-/// Time for which a permit holds, counted by who asked for it from before it asked. It bounds what may
-/// still be sent when another node divides.
+/// Validity of a permit, measured by the requester from before its request. Bounds the calls that
+/// may still be sent after another node has taken over the allocation.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(500);
 
-/// Time in which a node that begins to divide gives out a part only: the one before it may not know yet
-/// that it does so no longer.
-const TAKEOVER_SPAN: Duration = Duration::from_secs(2);
+/// Time after a takeover during which only a fraction of the limits is allocated, because the
+/// previous allocator may not know yet that it was replaced.
+const TAKEOVER_PERIOD: Duration = Duration::from_secs(2);
 
-/// Part of the limits that is given out while another node may divide as well. With the whole of that
-/// one it stays within the half that a target bears beyond its limit.
-const CAUTIOUS_PART: f64 = 0.5;
+/// Fraction of the limits that is allocated while another node may be allocating as well. Together
+/// with the full allocation of that node, it stays within the 50 % by which a target tolerates
+/// calls above its limit.
+const TAKEOVER_RATIO: f64 = 0.5;
 
-/// Least time without a call after which a target is asked how it is.
-const IDLE_SPAN: Duration = Duration::from_secs(3);
+/// Minimum time without a call after which a target is probed.
+const MIN_IDLE_TIME: Duration = Duration::from_secs(3);
 
-/// Longest such time, for targets that take a call in minutes.
-const LONGEST_IDLE: Duration = Duration::from_secs(30);
+/// Maximum such time, for targets that accept a call only every few minutes.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
 
-/// Calls that a target could have had in that time.
+/// Number of calls that a target must have been able to accept during the idle time.
 const IDLE_CALLS: f64 = 2.0;
 
-/// Time for which the end of a limit is told to those that missed it.
-const TELL_SPAN: Duration = Duration::from_secs(60);
+/// Time for which the end of a limit is announced to nodes that missed it.
+const ANNOUNCE_PERIOD: Duration = Duration::from_secs(60);
 
-/// What the divider says of a target.
+/// Limit of one target as announced by the allocator.
 #[derive(Clone, Debug, PartialEq, bincode::Encode, bincode::Decode)]
 pub struct LimitEntry {
-    /// The target's id.
+    /// Id of the target.
     pub target: String,
-    /// Start of its process, in milliseconds of the time of day; 0 where it does not tell.
+    /// Start of the target's process in milliseconds of the time of day; 0 if the target does not
+    /// report it.
     pub born: ProcessStart,
-    /// Number of this word; it rises within a term.
+    /// Sequence number of the entry, increasing within a term.
     pub sequence: u64,
-    /// What holds.
+    /// Current state of the limit.
     pub state: LimitState,
 }
 
-/// One target.
+/// State of one target.
 #[derive(Clone, Debug)]
-struct DividedTarget {
+struct LimitedTarget {
     born: ProcessStart,
     record: LimitRecord,
     bucket: LimitBucket,
-    /// What was told last.
-    told: LimitState,
+    /// State that was announced last.
+    announced: LimitState,
     sequence: u64,
     changed_at: Moment,
 }
 
-/// Divides the limits of one service's targets.
+/// Allocates the limits of one service's targets.
 #[derive(Clone, Debug)]
 pub struct LimitAllocator {
-    began: Moment,
-    /// Whether this node reaches at least half of those that may be alive.
+    started_at: Moment,
+    /// Whether this node reaches at least half of the nodes that may be alive.
     reaches_half: bool,
     sequence: u64,
-    targets: BTreeMap<TargetId, DividedTarget>,
-    line: PermitQueue,
+    targets: BTreeMap<TargetId, LimitedTarget>,
+    queue: PermitQueue,
 }
 
 impl LimitAllocator {
-    /// Begins to divide.
+    /// Starts to allocate.
     pub fn new(now: Moment) -> Self {
         Self {
-            began: now,
+            started_at: now,
             reaches_half: true,
             sequence: 0,
             targets: BTreeMap::new(),
-            line: PermitQueue::default(),
+            queue: PermitQueue::default(),
         }
     }
 
-    /// Takes what a node that asks knows of a target's limit, where nothing was heard of it here. A node that
-    /// begins to divide may have missed it.
+    /// Adopts the limit of a target as known to a requesting node, unless this node knows the
+    /// target's limit itself. A new allocator may have missed it.
     pub fn adopt(&mut self, now: Moment, target: &TargetId, born: ProcessStart, state: LimitState) {
         let known = self.targets.get(target);
         let is_known = known.is_some_and(|known| known.born == born);
@@ -103,102 +106,103 @@
         self.insert(now, target, born, record);
     }
 
-    /// Notes whether this node reaches at least half of those that may be alive. A part of the fleet that is cut off
-    /// may divide for itself.
+    /// Sets whether this node reaches at least half of the nodes that may be alive. A disconnected
+    /// part of the fleet may elect its own allocator.
     pub fn set_reaches_half(&mut self, reaches_half: bool) {
         self.reaches_half = reaches_half;
     }
 
-    /// Takes a target's word as some node heard it.
+    /// Records a limit signal of a target as observed by any node.
     pub fn observe(
         &mut self,
         now: Moment,
         target: &TargetId,
         born: ProcessStart,
-        heard: LimitObservation,
+        observation: LimitObservation,
     ) {
         let known = self.targets.get(target);
         let is_known = known.is_some_and(|known| known.born == born);
         if !is_known {
-            if heard.signal.rate().is_none() {
+            if observation.signal.rate().is_none() {
                 return;
             }
-            // Whoever sent calls until now had no permit.
+            // Calls sent until now did not need a permit.
             let record = LimitRecord::new(now, LimitState::Free, Moment::ZERO);
             self.insert(now, target, born, record);
         }
         if let Some(known) = self.targets.get_mut(target) {
-            known.record.note(now, heard);
+            known.record.observe(now, observation);
         }
         self.advance(now, target);
     }
 
     fn insert(&mut self, now: Moment, target: &TargetId, born: ProcessStart, record: LimitRecord) {
-        let divided = DividedTarget {
+        let limited = LimitedTarget {
             born,
             record,
             bucket: LimitBucket::new(now),
-            told: LimitState::Free,
+            announced: LimitState::Free,
             sequence: 0,
             changed_at: now,
         };
-        self.targets.insert(target.clone(), divided);
+        self.targets.insert(target.clone(), limited);
         self.advance(now, target);
     }
 
-    /// Forgets targets that are gone or started again.
-    pub fn retain_listed(&mut self, is_there: impl Fn(&TargetId, ProcessStart) -> bool) {
+    /// Drops targets that are no longer listed or have restarted.
+    pub fn retain_listed(&mut self, is_listed: impl Fn(&TargetId, ProcessStart) -> bool) {
         self.targets
-            .retain(|target, divided| is_there(target, divided.born));
+            .retain(|target, limited| is_listed(target, limited.born));
     }
 
-    /// Returns what is new since the last such call.
+    /// Returns the entries that changed since the last call.
     pub fn take_updates(&mut self, now: Moment) -> Vec<LimitEntry> {
-        let mut news = Vec::new();
-        for (target, divided) in &mut self.targets {
-            let state = divided.record.state(now);
-            if divided.told != state {
+        let mut updates = Vec::new();
+        for (target, limited) in &mut self.targets {
+            let state = limited.record.state(now);
+            if limited.announced != state {
                 self.sequence += 1;
-                divided.told = state;
-                divided.sequence = self.sequence;
-                divided.changed_at = now;
-                news.push(entry_of(target, divided));
+                limited.announced = state;
+                limited.sequence = self.sequence;
+                limited.changed_at = now;
+                updates.push(entry_for(target, limited));
             }
         }
-        self.targets.retain(|_, divided| {
-            divided.told.needs_permit() || now.saturating_sub(divided.changed_at) < TELL_SPAN
+        self.targets.retain(|_, limited| {
+            limited.announced.needs_permit()
+                || now.saturating_sub(limited.changed_at) < ANNOUNCE_PERIOD
         });
-        news
+        updates
     }
 
-    /// Returns what was told of all targets.
+    /// Returns the announced entries of all targets.
     pub fn entries(&self) -> Vec<LimitEntry> {
         let targets = self.targets.iter();
         targets
-            .map(|(target, divided)| entry_of(target, divided))
+            .map(|(target, limited)| entry_for(target, limited))
             .collect()
     }
 
-    /// Tells whether calls to a target need a permit.
+    /// Returns whether calls to a target need a permit.
     pub fn is_limited(&self, now: Moment, target: &str) -> bool {
-        let divided = self.targets.get(target);
-        divided.is_some_and(|divided| divided.record.rate(now).is_some())
+        let limited = self.targets.get(target);
+        limited.is_some_and(|limited| limited.record.rate(now).is_some())
     }
 
-    /// Tells whether a call to a target is free now.
+    /// Returns whether a call to a target is permitted now.
     pub fn has_capacity(&mut self, now: Moment, target: &str) -> bool {
         self.advance(now, target);
-        let divided = self.targets.get(target);
-        divided.is_none_or(|divided| {
-            divided.record.rate(now).is_none() || divided.bucket.tokens() >= 1.0
+        let limited = self.targets.get(target);
+        limited.is_none_or(|limited| {
+            limited.record.rate(now).is_none() || limited.bucket.tokens() >= 1.0
         })
     }
 
-    /// Lets a call to a target through.
+    /// Takes a permit for a call to a target.
     ///
     /// # Errors
     ///
-    /// Returns the time until one is free.
+    /// Returns the time until a permit becomes available.
     pub fn take(
         &mut self,
         now: Moment,
@@ -206,18 +210,18 @@
         purpose: PermitPurpose,
     ) -> Result<(), Duration> {
         self.advance(now, target);
-        let divided = self.targets.get_mut(target);
-        let limited = divided.filter(|divided| divided.record.rate(now).is_some());
-        let Some(divided) = limited else {
+        let limited = self.targets.get_mut(target);
+        let limited = limited.filter(|limited| limited.record.rate(now).is_some());
+        let Some(limited) = limited else {
             return Ok(());
         };
-        if divided.bucket.take(now, purpose) {
+        if limited.bucket.take(now, purpose) {
             return Ok(());
         }
-        Err(divided.bucket.wait(purpose))
+        Err(limited.bucket.wait(purpose))
     }
 
-    /// Tells a request whether it is its turn at these targets, which all have limits.
+    /// Requests a permit for a request whose eligible targets are all limited.
     pub fn request_permit(
         &mut self,
         now: Moment,
@@ -225,16 +229,17 @@
         targets: &[TargetId],
     ) -> PermitDecision {
         let supply = self.supply(now, targets);
-        self.line.request(now, ask, supply)
+        self.queue.request(now, ask, supply)
     }
 
-    /// Returns the time until the turn of a request like this comes, with so many that were let in before
-    /// it and don't ask yet; `None` if there is a target that needs no permit.
+    /// Estimates the time until a request of these ranks gets a permit, behind `upcoming` requests
+    /// that were admitted before it and have not asked yet. Returns `None` if one of the targets
+    /// needs no permit.
     pub fn forecast(
         &mut self,
         now: Moment,
         ranks: PermitRanks,
-        coming: usize,
+        upcoming: usize,
         targets: &[TargetId],
     ) -> Option<Duration> {
         let is_limited = |target: &TargetId| self.is_limited(now, target);
@@ -242,83 +247,87 @@
             return None;
         }
         let supply = self.supply(now, targets);
-        Some(self.line.forecast(now, ranks, coming, supply))
+        Some(self.queue.forecast(now, ranks, upcoming, supply))
     }
 
-    /// Chooses when a request should come back that would be late by so much.
+    /// Returns the delay after which a request that would miss its deadline by `lateness` should be
+    /// retried.
     pub fn schedule_retry(
         &mut self,
         now: Moment,
-        late: Duration,
+        lateness: Duration,
         targets: &[TargetId],
     ) -> Duration {
         let rate = self.supply(now, targets).rate();
-        self.line.schedule_retry(now, late, rate)
+        self.queue.schedule_retry(now, lateness, rate)
     }
 
-    /// Returns the targets that had no call for a while, so that nobody would hear that they are well
-    /// again; each may be asked now.
+    /// Returns the targets that had no call for some time. Each may be probed now; without a call
+    /// nobody would notice that the target has recovered.
     pub fn take_idle(&mut self, now: Moment) -> Vec<TargetId> {
-        let part = self.part(now);
+        let allocated_ratio = self.allocated_ratio(now);
         let mut idle = Vec::new();
-        for (target, divided) in &mut self.targets {
-            let Some(rate) = divided.record.rate(now) else {
+        for (target, limited) in &mut self.targets {
+            let Some(rate) = limited.record.rate(now) else {
                 continue;
             };
-            divided.bucket.advance(now, rate * part);
-            let span = Duration::try_from_secs_f64(IDLE_CALLS / rate).unwrap_or(IDLE_SPAN);
-            let span = span.clamp(IDLE_SPAN, LONGEST_IDLE);
-            if now.saturating_sub(divided.bucket.granted_at) >= span {
-                divided.bucket.take_question(now);
+            limited.bucket.advance(now, rate * allocated_ratio);
+            let idle_time = Duration::try_from_secs_f64(IDLE_CALLS / rate).unwrap_or(MIN_IDLE_TIME);
+            let idle_time = idle_time.clamp(MIN_IDLE_TIME, MAX_IDLE_TIME);
+            if now.saturating_sub(limited.bucket.granted_at) >= idle_time {
+                limited.bucket.take_probe(now);
                 idle.push(target.clone());
             }
         }
         idle
     }
 
-    /// Returns the calls a second that are given out, and the requests that wait.
+    /// Returns the allocated calls per second, and the number of waiting requests.
     pub fn load(&self, now: Moment) -> (CallRate, usize) {
         let rates = self.targets.values();
-        let rates = rates.filter_map(|divided| divided.record.rate(now));
-        (rates.sum::<f64>() * self.part(now), self.line.len())
+        let rates = rates.filter_map(|limited| limited.record.rate(now));
+        (
+            rates.sum::<f64>() * self.allocated_ratio(now),
+            self.queue.len(),
+        )
     }
 
-    fn part(&self, now: Moment) -> f64 {
-        let is_new = now.saturating_sub(self.began) < TAKEOVER_SPAN;
-        if is_new || !self.reaches_half {
-            CAUTIOUS_PART
+    fn allocated_ratio(&self, now: Moment) -> f64 {
+        let is_recent = now.saturating_sub(self.started_at) < TAKEOVER_PERIOD;
+        if is_recent || !self.reaches_half {
+            TAKEOVER_RATIO
         } else {
             1.0
         }
     }
 
     fn advance(&mut self, now: Moment, target: &str) {
-        let part = self.part(now);
-        if let Some(divided) = self.targets.get_mut(target) {
-            let rate = divided.record.rate(now).unwrap_or(0.0);
-            divided.bucket.advance(now, rate * part);
+        let allocated_ratio = self.allocated_ratio(now);
+        if let Some(limited) = self.targets.get_mut(target) {
+            let rate = limited.record.rate(now).unwrap_or(0.0);
+            limited.bucket.advance(now, rate * allocated_ratio);
         }
     }
 
     fn supply(&mut self, now: Moment, targets: &[TargetId]) -> CallSupply {
-        let part = self.part(now);
+        let allocated_ratio = self.allocated_ratio(now);
         let mut supply = CallSupply::default();
         for target in targets {
             self.advance(now, target);
-            if let Some(divided) = self.targets.get(target) {
-                let rate = divided.record.rate(now).unwrap_or(0.0) * part;
-                supply.add(divided.bucket.tokens(), rate);
+            if let Some(limited) = self.targets.get(target) {
+                let rate = limited.record.rate(now).unwrap_or(0.0) * allocated_ratio;
+                supply.add(limited.bucket.tokens(), rate);
             }
         }
         supply
     }
 }
 
-fn entry_of(target: &TargetId, divided: &DividedTarget) -> LimitEntry {
+fn entry_for(target: &TargetId, limited: &LimitedTarget) -> LimitEntry {
     LimitEntry {
         target: target.to_string(),
-        born: divided.born,
-        sequence: divided.sequence,
-        state: divided.told,
+        born: limited.born,
+        sequence: limited.sequence,
+        state: limited.announced,
     }
 }
--- a/packages/turnford-fleet/src/limit_bucket.rs
+++ b/packages/turnford-fleet/src/limit_bucket.rs
@@ -1,4 +1,4 @@
-//! The calls that one target takes from all nodes together, as they become free.
+//! Token bucket for the calls that one target accepts from all nodes together.
 
 use std::time::Duration;
 
@@ -6,39 +6,39 @@
 
 use crate::Moment;
 
-/// Time whose calls may go together: permits are asked for at odd moments, and what is not asked for in
-/// time would be lost.
-const BURST_SPAN: Duration = Duration::from_millis(100);
+/// Period whose calls may be sent in one burst. Permits are requested at irregular times, and
+/// unused capacity would otherwise be lost.
+const BURST_PERIOD: Duration = Duration::from_millis(100);
 
-/// Least number of calls that may go together, for the same reason.
-const LEAST_BURST: f64 = 2.0;
+/// Minimum burst size, for the same reason.
+const MIN_BURST: f64 = 2.0;
 
-/// Part of a target's calls that may go to its upkeep.
-const UPKEEP_PART: f64 = 0.25;
+/// Fraction of a target's calls that may be used for maintenance.
+const MAINTENANCE_RATIO: f64 = 0.25;
 
-/// Most calls for which a question may go ahead of time.
-const QUESTION_DEBT: f64 = -1.0;
+/// Lowest token balance that a probe may leave by being sent ahead of time.
+const PROBE_DEBT: f64 = -1.0;
 
-/// Longest wait that is told where a target takes nothing.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+/// Maximum reported wait for a target that accepts no calls.
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// What a call is for.
+/// Purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub enum PermitPurpose {
-    /// A request or pieces.
+    /// A request or a batch of pieces.
     Work,
-    /// What a target's work needs beside that: reports, releases, questions.
+    /// Auxiliary calls: reports, releases and probes.
     Maintenance,
 }
 
-/// A token bucket; it starts empty.
+/// A token bucket, initially empty.
 #[derive(Clone, Debug)]
 pub(crate) struct LimitBucket {
     rate: CallRate,
     tokens: f64,
-    upkeep: f64,
-    at: Moment,
-    /// When a call was let through last.
+    maintenance: f64,
+    updated_at: Moment,
+    /// Time at which a call was last permitted.
     pub(crate) granted_at: Moment,
 }
 
@@ -47,56 +47,57 @@
         Self {
             rate: 0.0,
             tokens: 0.0,
-            upkeep: 0.0,
-            at: now,
+            maintenance: 0.0,
+            updated_at: now,
             granted_at: now,
         }
     }
 
-    /// Goes on to now, and lets so many calls a second become free from now on.
+    /// Refills the bucket up to `now`, and sets the rate in calls per second from now on.
     pub(crate) fn advance(&mut self, now: Moment, rate: CallRate) {
-        let span = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let most = (self.rate * BURST_SPAN.as_secs_f64()).max(LEAST_BURST);
-        self.tokens = (self.tokens + self.rate * span).min(most);
-        self.upkeep = (self.upkeep + self.rate * span * UPKEEP_PART).min(1.0);
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
+        let max_tokens = (self.rate * BURST_PERIOD.as_secs_f64()).max(MIN_BURST);
+        self.tokens = (self.tokens + self.rate * elapsed).min(max_tokens);
+        self.maintenance = (self.maintenance + self.rate * elapsed * MAINTENANCE_RATIO).min(1.0);
         self.rate = rate;
     }
 
-    /// Returns the calls that are free, with parts of one.
+    /// Returns the available calls, including fractions.
     pub(crate) fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Lets a call through; false if none is free.
+    /// Takes a token for a call. Returns false if none is available.
     pub(crate) fn take(&mut self, now: Moment, purpose: PermitPurpose) -> bool {
-        let is_upkeep = purpose == PermitPurpose::Maintenance;
-        if self.tokens < 1.0 || (is_upkeep && self.upkeep < 1.0) {
+        let is_maintenance = purpose == PermitPurpose::Maintenance;
+        if self.tokens < 1.0 || (is_maintenance && self.maintenance < 1.0) {
             return false;
         }
         self.tokens -= 1.0;
-        if is_upkeep {
-            self.upkeep -= 1.0;
+        if is_maintenance {
+            self.maintenance -= 1.0;
         }
         self.granted_at = now;
         true
     }
 
-    /// Lets a question through, which may go ahead of its time: a target that gets no call says nothing.
-    pub(crate) fn take_question(&mut self, now: Moment) {
-        self.tokens = (self.tokens - 1.0).max(QUESTION_DEBT);
+    /// Takes a token for a probe, possibly ahead of time: a target that receives no calls cannot
+    /// report a change of its limit.
+    pub(crate) fn take_probe(&mut self, now: Moment) {
+        self.tokens = (self.tokens - 1.0).max(PROBE_DEBT);
         self.granted_at = now;
     }
 
-    /// Returns the time until a call for this is free.
+    /// Returns the time until a call for this purpose is available.
     pub(crate) fn wait(&self, purpose: PermitPurpose) -> Duration {
         let work = (1.0 - self.tokens).max(0.0) / self.rate;
-        let upkeep = (1.0 - self.upkeep).max(0.0) / (self.rate * UPKEEP_PART);
+        let maintenance = (1.0 - self.maintenance).max(0.0) / (self.rate * MAINTENANCE_RATIO);
         let wait = match purpose {
             PermitPurpose::Work => work,
-            PermitPurpose::Maintenance => work.max(upkeep),
+            PermitPurpose::Maintenance => work.max(maintenance),
         };
-        let wait = Duration::try_from_secs_f64(wait).unwrap_or(LONGEST_WAIT);
-        wait.min(LONGEST_WAIT)
+        let wait = Duration::try_from_secs_f64(wait).unwrap_or(MAX_WAIT);
+        wait.min(MAX_WAIT)
     }
 }
--- a/packages/turnford-fleet/src/limit_record.rs
+++ b/packages/turnford-fleet/src/limit_record.rs
@@ -1,4 +1,4 @@
-//! What a target's limit is, by what all nodes heard of it.
+//! Current limit of one target, derived from the observations of all nodes.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 
 use crate::Moment;
 
-/// Time in which a target that names no limit any more gets twice as many calls.
-const EASE_DOUBLING: Duration = Duration::from_millis(400);
+/// Time in which the rate doubles after a target no longer announces a limit.
+const RAMP_DOUBLING_TIME: Duration = Duration::from_millis(400);
 
-/// Time after which such a target gets all calls.
-const EASE_SPAN: Duration = Duration::from_secs(3);
+/// Time after which such a target is no longer limited.
+const RAMP_DURATION: Duration = Duration::from_secs(3);
 
-/// Least calls a second that easing begins with.
-const LEAST_EASE: CallRate = 2.0;
+/// Minimum rate in calls per second at the start of the ramp.
+const MIN_RAMP_RATE: CallRate = 2.0;
 
-/// The end of a limit.
+/// End of a limit.
 #[derive(Clone, Copy, Debug)]
 struct LimitEnd {
-    at: Moment,
-    /// Rate that it had.
+    ended_at: Moment,
+    /// Rate before the limit ended.
     rate: CallRate,
 }
 
-/// What is known of one target's limit.
+/// Known limit of one target.
 #[derive(Clone, Debug)]
 pub(crate) struct LimitRecord {
     current: LimitObservation,
@@ -34,15 +34,15 @@
 }
 
 impl LimitRecord {
-    /// Starts with a target's word, or with what an earlier divider said.
+    /// Creates a record from the state that a target or an earlier allocator announced.
     pub(crate) fn new(now: Moment, state: LimitState, received_at: Moment) -> Self {
         let (signal, end) = match state {
             LimitState::Limited(rate) => (LimitSignal::Rate(rate), None),
             LimitState::Free => (LimitSignal::Unlimited, None),
             LimitState::Easing => {
                 let end = LimitEnd {
-                    at: now,
-                    rate: LEAST_EASE,
+                    ended_at: now,
+                    rate: MIN_RAMP_RATE,
                 };
                 (LimitSignal::Unlimited, Some(end))
             }
@@ -55,49 +55,56 @@
         Self { current, end }
     }
 
-    /// Takes a word. One that is surely older changes nothing; of two that may have crossed, the stricter
-    /// holds until a later one comes.
-    pub(crate) fn note(&mut self, now: Moment, heard: LimitObservation) {
+    /// Applies an observation. One that is certainly older is ignored. If the order of two
+    /// observations is unclear, the stricter one holds until a later one arrives.
+    pub(crate) fn observe(&mut self, now: Moment, observation: LimitObservation) {
         let current = self.current;
-        if heard.received_at <= current.sent_at && heard.signal != current.signal {
+        if observation.received_at <= current.sent_at && observation.signal != current.signal {
             return;
         }
-        let is_newer = heard.sent_at >= current.received_at;
-        if !is_newer && heard.signal != current.signal && !heard.signal.is_stricter(current.signal)
+        let is_newer = observation.sent_at >= current.received_at;
+        if !is_newer
+            && observation.signal != current.signal
+            && !observation.signal.is_stricter(current.signal)
         {
             return;
         }
         self.current = LimitObservation {
-            signal: heard.signal,
-            sent_at: heard.sent_at.max(current.sent_at),
-            received_at: heard.received_at.max(current.received_at),
+            signal: observation.signal,
+            sent_at: observation.sent_at.max(current.sent_at),
+            received_at: observation.received_at.max(current.received_at),
         };
-        match (current.signal, heard.signal) {
+        match (current.signal, observation.signal) {
             (LimitSignal::Rate(rate), LimitSignal::Unlimited) => {
-                let rate = rate.max(LEAST_EASE);
-                self.end = Some(LimitEnd { at: now, rate });
+                let rate = rate.max(MIN_RAMP_RATE);
+                self.end = Some(LimitEnd {
+                    ended_at: now,
+                    rate,
+                });
             }
             (_, LimitSignal::Rate(_)) => self.end = None,
             _ => {}
         }
     }
 
-    /// Returns what holds now.
+    /// Returns the current state.
     pub(crate) fn state(&self, now: Moment) -> LimitState {
         match (self.current.signal, self.end) {
             (LimitSignal::Rate(rate), _) => LimitState::Limited(rate),
-            (_, Some(end)) if now.saturating_sub(end.at) < EASE_SPAN => LimitState::Easing,
+            (_, Some(end)) if now.saturating_sub(end.ended_at) < RAMP_DURATION => {
+                LimitState::Easing
+            }
             _ => LimitState::Free,
         }
     }
 
-    /// Returns the calls a second that may go there, `None` for any number.
+    /// Returns the permitted calls per second, or `None` if unlimited.
     pub(crate) fn rate(&self, now: Moment) -> Option<CallRate> {
-        let span = |end: LimitEnd| now.saturating_sub(end.at);
+        let elapsed = |end: LimitEnd| now.saturating_sub(end.ended_at);
         match (self.current.signal, self.end) {
             (LimitSignal::Rate(rate), _) => Some(rate),
-            (_, Some(end)) if span(end) < EASE_SPAN => {
-                let doublings = span(end).as_secs_f64() / EASE_DOUBLING.as_secs_f64();
+            (_, Some(end)) if elapsed(end) < RAMP_DURATION => {
+                let doublings = elapsed(end).as_secs_f64() / RAMP_DOUBLING_TIME.as_secs_f64();
                 Some(end.rate * doublings.exp2())
             }
             _ => None,
--- a/packages/turnford-fleet/src/member.rs
+++ b/packages/turnford-fleet/src/member.rs
@@ -1,7 +1,8 @@
-//! Membership by probes, indirect probes, suspicion and incarnations, in the style of SWIM.
+//! SWIM-style group membership with probes, indirect probes, suspicion and incarnations.
 //!
-//! The size of a message does not grow with the fleet: each carries at most six
-//! updates, and each update is passed on a number of times that grows with the logarithm.
+//! The size of a message does not depend on the size of the fleet: each carries at most six
+//! updates, and each update is retransmitted a number of times that grows with the logarithm of the
+//! size.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,130 +16,131 @@
 use crate::Moment;
 use crate::NodeName;
 
-/// Updates in one message.
-const GOSSIP_LIMIT: usize = 6;
+/// Maximum number of updates in one message.
+const MAX_GOSSIP_UPDATES: usize = 6;
 
-/// Pause between probes.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Members asked to probe a silent one.
-const INDIRECT_COUNT: usize = 3;
+/// Number of members asked to probe an unresponsive member.
+const INDIRECT_PROBES: usize = 3;
 
-/// Time a suspect has to answer, for each doubling of the fleet.
-const SUSPECT_SPAN: Duration = Duration::from_millis(1000);
+/// Time within which a suspect has to refute the suspicion, per doubling of the fleet size.
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Time that a dead member is remembered, so that old gossip does not bring it back.
-const DEAD_SPAN: Duration = Duration::from_secs(600);
+/// Time for which a dead member is remembered, so that stale gossip does not resurrect it.
+const DEAD_RETENTION: Duration = Duration::from_secs(600);
 
-/// One in so many probes goes to a member thought dead, so that halves of a partition heal.
-const DEAD_PROBE_TURN: u64 = 5;
+/// Every n-th probe goes to a member considered dead, so that the halves of a partition merge
+/// again.
+const DEAD_PROBE_INTERVAL: u64 = 5;
 
-/// Times that an update is passed on, for each doubling of the fleet.
-const SPREAD_FACTOR: u32 = 3;
+/// Retransmissions of an update per doubling of the fleet size.
+const RETRANSMIT_FACTOR: u32 = 3;
 
-/// What is thought of a member. The order is the order of precedence within one incarnation.
+/// State of a member. Within one incarnation, a later value takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, bincode::Encode, bincode::Decode)]
 pub enum MemberState {
-    /// Answers.
+    /// Responds to probes.
     Alive,
-    /// Did not answer a probe, direct or indirect.
+    /// Did not respond to a direct or indirect probe.
     Suspect,
-    /// Did not answer for longer.
+    /// Remained unresponsive until the suspicion timed out.
     Dead,
-    /// Stopped as planned.
+    /// Shut down as planned.
     Left,
 }
 
-/// What one node says of another.
+/// Information about one member, as exchanged between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, bincode::Encode, bincode::Decode)]
 pub struct MemberUpdate {
     /// Name of the member.
     pub name: NodeName,
-    /// Address for the inner protocol.
+    /// Address for the protocol between nodes.
     pub address: SocketAddr,
-    /// Address for work that nodes hand to each other.
+    /// Address for work that nodes hand over to each other.
     pub work: SocketAddr,
     /// Hall of the member.
     pub hall: String,
-    /// Number that only the member itself raises. Where it begins with the time of day, a new process
-    /// of the same name goes before the old one at once.
+    /// Incarnation number, raised only by the member itself. If it starts with the time of day, a
+    /// new process immediately takes precedence over an old one of the same name.
     pub incarnation: u64,
-    /// State.
+    /// State of the member.
     pub state: MemberState,
 }
 
-/// A member as this node has it.
+/// A member as known to this node.
 #[derive(Clone, Debug)]
 pub struct MemberRecord {
-    /// What was last heard of it.
+    /// Latest update about the member.
     pub update: MemberUpdate,
-    /// Since when it has its state.
+    /// Time since which it has been in its state.
     pub since: Moment,
 }
 
 /// A probe to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProbePlan {
-    /// Member to ask.
+    /// Member to probe.
     pub name: NodeName,
-    /// Its address.
+    /// Address of the member.
     pub address: SocketAddr,
 }
 
-/// The members as one node sees them.
+/// Membership as seen by one node.
 #[derive(Debug)]
 pub struct MemberTable {
     own: MemberUpdate,
     members: BTreeMap<NodeName, MemberRecord>,
-    order: Vec<NodeName>,
+    probe_order: Vec<NodeName>,
     gossip: Vec<(u32, MemberUpdate)>,
-    next_probe: Moment,
-    turn: u64,
+    next_probe_at: Moment,
+    probe_count: u64,
     rng: SmallRng,
 }
 
 impl MemberTable {
-    /// Starts a table with this node alone.
+    /// Creates a table that contains only this node.
     pub fn new(own: MemberUpdate, seed: u64) -> Self {
         Self {
             own,
             members: BTreeMap::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             gossip: Vec::new(),
-            next_probe: Moment::ZERO,
-            turn: 0,
+            next_probe_at: Moment::ZERO,
+            probe_count: 0,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Returns what this node says of itself.
+    /// Returns this node's own update.
     pub fn own(&self) -> &MemberUpdate {
         &self.own
     }
 
-    /// Returns the names of members that are not dead, this node among them.
+    /// Returns the names of all members that are not dead, including this node.
     pub fn live_names(&self) -> impl Iterator<Item = &str> {
         let others = self.live().map(|record| record.update.name.as_str());
         others.chain(std::iter::once(self.own.name.as_str()))
     }
 
-    /// Returns the other members that are not dead.
+    /// Returns all other members that are not dead.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         let members = self.members.values();
         members.filter(|record| record.update.state <= MemberState::Suspect)
     }
 
-    /// Returns every member known, dead ones among them.
+    /// Returns all known members, including dead ones.
     pub fn all(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values()
     }
 
-    /// Returns a member by its name.
+    /// Returns the record of another member, dead ones included.
     pub fn get(&self, name: &str) -> Option<&MemberRecord> {
         self.members.get(name)
     }
 
-    /// Returns up to `count` other live members at random.
+    /// Returns up to `count` random other live members.
     pub fn sample(&mut self, count: usize) -> Vec<MemberUpdate> {
         let live: Vec<&MemberRecord> = self
             .members
@@ -149,14 +151,14 @@
         chosen.map(|record| record.update.clone()).collect()
     }
 
-    /// Returns the probe that is due, if one is.
+    /// Returns the probe to send now, if one is due.
     pub fn probe_due(&mut self, now: Moment) -> Option<ProbePlan> {
-        if now < self.next_probe {
+        if now < self.next_probe_at {
             return None;
         }
-        self.next_probe = now + PROBE_PAUSE;
-        self.turn += 1;
-        if self.turn.is_multiple_of(DEAD_PROBE_TURN) {
+        self.next_probe_at = now + PROBE_INTERVAL;
+        self.probe_count += 1;
+        if self.probe_count.is_multiple_of(DEAD_PROBE_INTERVAL) {
             if let Some(plan) = self.dead_probe() {
                 return Some(plan);
             }
@@ -164,11 +166,11 @@
         self.next_in_order()
     }
 
-    /// Returns the members to ask for an indirect probe of a silent one.
+    /// Returns the members to ask for indirect probes of an unresponsive member.
     pub fn indirect_probes(&mut self, silent: &str) -> Vec<ProbePlan> {
-        let others = self.sample(INDIRECT_COUNT + 1);
+        let others = self.sample(INDIRECT_PROBES + 1);
         let helpers = others.into_iter().filter(|other| other.name != silent);
-        let plans = helpers.take(INDIRECT_COUNT);
+        let plans = helpers.take(INDIRECT_PROBES);
         plans
             .map(|update| ProbePlan {
                 name: update.name,
@@ -177,7 +179,7 @@
             .collect()
     }
 
-    /// Notes that a probe stayed without an answer, direct and indirect.
+    /// Records that neither direct nor indirect probes of a member were answered.
     pub fn record_probe_failure(&mut self, now: Moment, name: &str) {
         let Some(record) = self.members.get(name) else {
             return;
@@ -190,7 +192,7 @@
         self.apply(now, update);
     }
 
-    /// Takes what another node says, and returns whether anything changed.
+    /// Applies an update from another node and returns whether anything changed.
     pub fn apply(&mut self, now: Moment, update: MemberUpdate) -> bool {
         if update.name == self.own.name {
             return self.apply_own(update);
@@ -202,65 +204,67 @@
                 return false;
             }
         } else if update.state >= MemberState::Dead {
-            // Nothing is known of it, and nothing needs to be.
+            // An unknown member that is already gone does not need to be remembered.
             return false;
         }
-        self.spread(update.clone());
+        self.enqueue_gossip(update.clone());
         let record = MemberRecord { update, since: now };
         self.members.insert(record.update.name.clone(), record);
         true
     }
 
-    /// Moves suspects whose time is over to the dead, and forgets the long dead.
+    /// Declares suspects dead after their timeout, and removes members that have been dead for
+    /// long.
     pub fn expire(&mut self, now: Moment) {
-        let span = SUSPECT_SPAN * self.doublings().max(3);
-        let late: Vec<MemberUpdate> = self
+        let timeout = SUSPECT_TIMEOUT * self.size_log2().max(3);
+        let overdue: Vec<MemberUpdate> = self
             .members
             .values()
             .filter(|record| record.update.state == MemberState::Suspect)
-            .filter(|record| now.saturating_sub(record.since) >= span)
+            .filter(|record| now.saturating_sub(record.since) >= timeout)
             .map(|record| record.update.clone())
             .collect();
-        for mut update in late {
+        for mut update in overdue {
             update.state = MemberState::Dead;
             self.apply(now, update);
         }
         self.members.retain(|_, record| {
-            let gone = record.update.state >= MemberState::Dead;
-            !gone || now.saturating_sub(record.since) < DEAD_SPAN
+            let is_dead = record.update.state >= MemberState::Dead;
+            !is_dead || now.saturating_sub(record.since) < DEAD_RETENTION
         });
     }
 
-    /// Returns updates for the next message to a member, this node's own first.
+    /// Returns the updates for the next message to a member, this node's own first.
     ///
-    /// A member that is not thought alive is told so, whoever else knows it: only its own higher
-    /// incarnation can bring it back.
+    /// A member that is not considered alive is always told so, since only its own higher
+    /// incarnation can revive it.
     pub fn take_gossip(&mut self, to: &str) -> Vec<MemberUpdate> {
         let mut updates = vec![self.own.clone()];
         let known = self.members.get(to);
-        let doubted = known.filter(|record| record.update.state != MemberState::Alive);
-        updates.extend(doubted.map(|record| record.update.clone()));
-        // Those passed on most often go last.
+        let not_alive = known.filter(|record| record.update.state != MemberState::Alive);
+        updates.extend(not_alive.map(|record| record.update.clone()));
+        // Updates with the fewest remaining transmissions go last.
         self.gossip
-            .sort_by_key(|(left, _)| std::cmp::Reverse(*left));
-        let room = GOSSIP_LIMIT - updates.len();
-        for (left, update) in self.gossip.iter_mut().take(room) {
-            *left -= 1;
+            .sort_by_key(|(remaining, _)| std::cmp::Reverse(*remaining));
+        let room = MAX_GOSSIP_UPDATES - updates.len();
+        for (remaining, update) in self.gossip.iter_mut().take(room) {
+            *remaining -= 1;
             updates.push(update.clone());
         }
-        self.gossip.retain(|(left, _)| *left > 0);
+        self.gossip.retain(|(remaining, _)| *remaining > 0);
         updates
     }
 
-    /// Marks this node as stopping, for the others.
+    /// Announces that this node is shutting down.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Left;
         let own = self.own.clone();
-        self.spread(own);
+        self.enqueue_gossip(own);
     }
 
-    /// Returns a sum by which two nodes see whether they know the same live members in the same
-    /// incarnations: after many were restarted at once, gossip alone takes many rounds.
+    /// Returns a checksum over the live members and their incarnations, by which two nodes detect a
+    /// difference. After many nodes restarted at once, gossip alone would take many rounds to
+    /// converge.
     pub fn checksum(&self) -> u64 {
         use std::hash::Hasher;
 
@@ -275,8 +279,9 @@
         sum
     }
 
-    /// Takes word of this node itself. If others think it silent or dead, or an older process of
-    /// the same name left a higher incarnation, the node raises its own above it.
+    /// Applies an update about this node itself. If other nodes suspect it or consider it dead, or
+    /// an older process of the same name used a higher incarnation, the node raises its own
+    /// incarnation above it.
     fn apply_own(&mut self, update: MemberUpdate) -> bool {
         let stale = update.incarnation < self.own.incarnation;
         if stale || (update.incarnation == self.own.incarnation && update.state == self.own.state) {
@@ -284,29 +289,30 @@
         }
         self.own.incarnation = update.incarnation + 1;
         let own = self.own.clone();
-        self.spread(own);
+        self.enqueue_gossip(own);
         true
     }
 
-    fn spread(&mut self, update: MemberUpdate) {
-        let times = SPREAD_FACTOR * self.doublings().max(1);
+    fn enqueue_gossip(&mut self, update: MemberUpdate) {
+        let transmissions = RETRANSMIT_FACTOR * self.size_log2().max(1);
         self.gossip.retain(|(_, other)| other.name != update.name);
-        self.gossip.push((times, update));
+        self.gossip.push((transmissions, update));
     }
 
     fn next_in_order(&mut self) -> Option<ProbePlan> {
-        // Each round asks everyone once, in a new order, so that a failure is found in bounded time.
-        while let Some(name) = self.order.pop() {
+        // Each round probes every member once in a new random order, which bounds the detection
+        // time.
+        while let Some(name) = self.probe_order.pop() {
             if let Some(plan) = self.plan_for(&name) {
                 return Some(plan);
             }
         }
-        self.order = self
+        self.probe_order = self
             .live()
             .map(|record| record.update.name.clone())
             .collect();
-        self.order.shuffle(&mut self.rng);
-        let name = self.order.pop()?;
+        self.probe_order.shuffle(&mut self.rng);
+        let name = self.probe_order.pop()?;
         self.plan_for(&name)
     }
 
@@ -334,8 +340,8 @@
         })
     }
 
-    /// Returns the base-two logarithm of the fleet's size, rounded up.
-    fn doublings(&self) -> u32 {
+    /// Returns the number of binary digits of the fleet's size, about its base-two logarithm.
+    fn size_log2(&self) -> u32 {
         let size = self.members.len() as u32 + 1;
         u32::BITS - size.leading_zeros()
     }
--- a/packages/turnford-fleet/src/order.rs
+++ b/packages/turnford-fleet/src/order.rs
@@ -1,9 +1,10 @@
-//! Orders to targets: intent first, then the order, under a lease.
+//! Orders to targets, logged as intents and protected by a lease.
 //!
-//! One giver a service at a time. Before an order is given, its intent is durable at the platform,
-//! so a successor can finish it. The lease's token goes out with the order: targets that check it
-//! refuse an older one. For targets that do not check, the giver asks its lease right before the
-//! order, and the lease is not passed on while an order can be in flight.
+//! At most one node sends the orders of a service at a time. The intent of an order is made durable
+//! at the platform before the order is sent, so that a successor can complete it. Each order
+//! carries the lease's fencing token, and targets that check it reject older tokens. For targets
+//! that do not, the sender verifies its lease immediately before the call, and the lease is not
+//! handed over while an order may be in flight.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,130 +15,130 @@
 use crate::Moment;
 use crate::Version;
 
-/// Pause between calls.
-const CALL_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum time between calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause after a fault.
-const FAULT_PAUSE: Duration = Duration::from_secs(1);
+/// Delay after an error.
+const ERROR_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Tries of one order before it is given up.
-const TRY_LIMIT: u32 = 3;
+/// Number of attempts after which an order is abandoned.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Orders given up in a row after which the giver stops and leaves it to the operators.
-const FAILURE_LIMIT: u32 = 5;
+/// Number of consecutive abandoned orders after which sending stops until an operator resumes it.
+const MAX_CONSECUTIVE_FAILURES: u32 = 5;
 
-/// What a target is told to do.
+/// Operation that a target is ordered to perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderKind {
     /// Load a model or adapter.
     Load,
-    /// Drop a model or adapter.
+    /// Unload a model or adapter.
     Unload,
 }
 
-/// One order. Giving it twice does no more than giving it once.
+/// An order to a target. Orders are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TargetOrder {
     /// Name of the target.
     pub target: String,
-    /// What to do.
+    /// Operation.
     pub kind: OrderKind,
-    /// Model or adapter.
+    /// Name of the model or adapter.
     pub model: String,
 }
 
-/// Orders of one service that were begun and not ended, as stored.
+/// Stored record of a service's orders that were started and have not finished.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
     /// Intents, oldest first.
     pub intents: Vec<TargetOrder>,
 }
 
-/// Act that a step asks for.
+/// Action to be performed by the caller of [`OrderQueue::step`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAction {
     /// Read the service's object.
     Read,
-    /// Write the record if the object has this version; 0 means absent.
+    /// Write the record if the object has the expected version.
     Write {
-        /// Version that the object must have.
+        /// Required version of the object; 0 means absent.
         expected: Version,
         /// Record to write.
         record: OrderRecord,
     },
-    /// Give an order, if the lease still holds when the call is about to be made.
+    /// Send an order, provided that the lease is still held immediately before the call.
     Send {
         /// The order.
         order: TargetOrder,
-        /// Token to send with it.
+        /// Fencing token to send with it.
         token: Version,
     },
 }
 
-/// How an act ended.
+/// Outcome of an action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The object as read; `None` if it is absent.
+    /// The object that was read, or `None` if it is absent.
     Found(Option<(Version, OrderRecord)>),
     /// The write was accepted with this version.
     Accepted(Version),
-    /// The object has another version, or the write's end is not known.
+    /// The object has a different version, or the outcome of the write is unknown.
     Reread,
-    /// The platform did not take the call.
+    /// The platform did not accept the call.
     Failed,
-    /// The target took the order.
+    /// The target accepted the order.
     Done,
-    /// The target did not take the order, or its answer is lost.
+    /// The target did not accept the order, or its response was lost.
     NotDone,
-    /// The order must wait, for the lease or the weight store.
+    /// The order has to wait this long for the lease or the weight store.
     Deferred(Duration),
 }
 
-/// What is under way.
+/// Action in flight.
 #[derive(Debug)]
 enum OrderCall {
     Read,
     Write(OrderRecord),
-    Give(TargetOrder),
+    Send(TargetOrder),
 }
 
-/// One service's orders on one node.
+/// Orders of one service, as driven by one node.
 #[derive(Debug, Default)]
 pub struct OrderQueue {
-    known: Option<(Version, OrderRecord)>,
+    cached: Option<(Version, OrderRecord)>,
     call: Option<OrderCall>,
-    ended: BTreeSet<TargetOrder>,
-    tries: u32,
+    finished: BTreeSet<TargetOrder>,
+    attempts: u32,
     failures: u32,
-    next_call: Moment,
+    next_call_at: Moment,
 }
 
 impl OrderQueue {
-    /// Makes a book that knows nothing yet.
+    /// Creates a queue without a cached record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tells whether the giver stopped because its orders fail.
+    /// Returns whether sending has stopped because of consecutive failures.
     pub fn is_halted(&self) -> bool {
-        self.failures >= FAILURE_LIMIT
+        self.failures >= MAX_CONSECUTIVE_FAILURES
     }
 
-    /// Lets a halted giver go on, at an operator's word.
+    /// Resumes sending after a halt, on request of an operator.
     pub fn resume(&mut self) {
         self.failures = 0;
     }
 
-    /// Returns the intents known to be open.
+    /// Returns the intents of the cached record.
     pub fn open_intents(&self) -> &[TargetOrder] {
-        self.known
+        self.cached
             .as_ref()
             .map_or(&[], |(_, record)| &record.intents)
     }
 
-    /// Returns the act to do now. `token` is the lease's, if it holds; `wanted` are orders that the
-    /// demand asks for; at most `limit` are open at a time.
+    /// Returns the next action. `token` is the fencing token while the lease is held, `wanted` are
+    /// the orders that the current demand requires, and at most `limit` orders are open at a time.
     pub fn step(
         &mut self,
         now: Moment,
@@ -145,83 +146,90 @@
         wanted: &[TargetOrder],
         limit: usize,
     ) -> Option<OrderAction> {
-        if self.call.is_some() || now < self.next_call {
+        if self.call.is_some() || now < self.next_call_at {
             return None;
         }
         let Some(token) = token else {
-            // Another node may be the giver; what is known here is old by the next time.
-            self.known = None;
-            self.ended.clear();
+            // Another node may be sending orders, so the cached record will be out of date.
+            self.cached = None;
+            self.finished.clear();
             return None;
         };
         if self.is_halted() {
             return None;
         }
-        let Some((version, record)) = self.known.clone() else {
+        let Some((version, record)) = self.cached.clone() else {
             self.call = Some(OrderCall::Read);
             return Some(OrderAction::Read);
         };
-        let changed = self.changed(&record, wanted, limit);
-        if changed != record {
-            self.call = Some(OrderCall::Write(changed.clone()));
+        let next_record = self.next_record(&record, wanted, limit);
+        if next_record != record {
+            self.call = Some(OrderCall::Write(next_record.clone()));
             return Some(OrderAction::Write {
                 expected: version,
-                record: changed,
+                record: next_record,
             });
         }
         let order = record.intents.into_iter().next()?;
-        self.call = Some(OrderCall::Give(order.clone()));
+        self.call = Some(OrderCall::Send(order.clone()));
         Some(OrderAction::Send { order, token })
     }
 
-    /// Takes the end of an act.
-    pub fn handle_outcome(&mut self, now: Moment, answer: OrderOutcome) {
+    /// Handles the outcome of an action.
+    pub fn handle_outcome(&mut self, now: Moment, outcome: OrderOutcome) {
         let Some(call) = self.call.take() else {
             debug_assert!(false, "no act is under way");
             return;
         };
-        self.next_call = now + CALL_PAUSE;
-        match (call, answer) {
+        self.next_call_at = now + CALL_INTERVAL;
+        match (call, outcome) {
             (OrderCall::Read, OrderOutcome::Found(found)) => {
-                self.known = Some(found.unwrap_or_default());
-                self.ended.clear();
+                self.cached = Some(found.unwrap_or_default());
+                self.finished.clear();
             }
             (OrderCall::Write(record), OrderOutcome::Accepted(version)) => {
-                self.ended.retain(|order| record.intents.contains(order));
-                self.known = Some((version, record));
+                self.finished.retain(|order| record.intents.contains(order));
+                self.cached = Some((version, record));
             }
-            (OrderCall::Give(order), OrderOutcome::Done) => {
-                self.tries = 0;
+            (OrderCall::Send(order), OrderOutcome::Done) => {
+                self.attempts = 0;
                 self.failures = 0;
-                self.ended.insert(order);
+                self.finished.insert(order);
             }
-            (OrderCall::Give(order), OrderOutcome::NotDone) => self.note_not_done(now, order),
-            (_, OrderOutcome::Deferred(wait)) => self.next_call = now + wait.max(CALL_PAUSE),
-            (_, OrderOutcome::Failed) => self.next_call = now + FAULT_PAUSE,
-            _ => self.known = None,
+            (OrderCall::Send(order), OrderOutcome::NotDone) => {
+                self.record_failed_attempt(now, order)
+            }
+            (_, OrderOutcome::Deferred(wait)) => self.next_call_at = now + wait.max(CALL_INTERVAL),
+            (_, OrderOutcome::Failed) => self.next_call_at = now + ERROR_BACKOFF,
+            _ => self.cached = None,
         }
     }
 
-    fn note_not_done(&mut self, now: Moment, order: TargetOrder) {
-        self.tries += 1;
-        self.next_call = now + FAULT_PAUSE;
-        if self.tries >= TRY_LIMIT {
-            self.tries = 0;
+    fn record_failed_attempt(&mut self, now: Moment, order: TargetOrder) {
+        self.attempts += 1;
+        self.next_call_at = now + ERROR_BACKOFF;
+        if self.attempts >= MAX_ATTEMPTS {
+            self.attempts = 0;
             self.failures += 1;
-            self.ended.insert(order);
+            self.finished.insert(order);
         }
     }
 
-    /// Returns the record without ended orders and with wanted ones, as far as there is room.
-    fn changed(&self, record: &OrderRecord, wanted: &[TargetOrder], limit: usize) -> OrderRecord {
+    /// Returns the record without finished orders and with as many wanted ones as fit.
+    fn next_record(
+        &self,
+        record: &OrderRecord,
+        wanted: &[TargetOrder],
+        limit: usize,
+    ) -> OrderRecord {
         let kept = record
             .intents
             .iter()
-            .filter(|order| !self.ended.contains(order));
+            .filter(|order| !self.finished.contains(order));
         let mut intents: Vec<TargetOrder> = kept.cloned().collect();
         for order in wanted {
             let busy = intents.iter().any(|other| other.target == order.target);
-            if intents.len() < limit && !busy && !self.ended.contains(order) {
+            if intents.len() < limit && !busy && !self.finished.contains(order) {
                 intents.push(order.clone());
             }
         }
--- a/packages/turnford-fleet/src/permit_queue.rs
+++ b/packages/turnford-fleet/src/permit_queue.rs
@@ -1,4 +1,4 @@
-//! Requests of all nodes that wait for the calls of targets that all have limits.
+//! Priority queue of requests from all nodes that wait for calls to limited targets.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,60 +9,61 @@
 
 use crate::Moment;
 
-/// Ranks of a request: that of its account, which goes first, and that of its route.
+/// Ranks of a request: first the rank of its account, then the rank of its route.
 pub type PermitRanks = (ClassRank, ClassRank);
 
-/// Time for which a request may wait and be refused all the same, since more urgent ones came. From then
-/// on those that would make it late go behind it.
-const KEEP_SPAN: Duration = Duration::from_millis(300);
+/// Time for which a waiting request may still be displaced by more urgent ones. Afterwards,
+/// requests that would delay it past its deadline queue behind it.
+const PROTECTION_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest pause between two looks of a request that waits.
-const LOOK_SPAN: Duration = Duration::from_secs(1);
+/// Maximum interval between two polls of a waiting request.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shortest such pause.
-const LEAST_LOOK: Duration = Duration::from_millis(5);
+/// Minimum interval between two polls.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time after its look at which a request that does not come any more loses its place.
-const LOST_SPAN: Duration = Duration::from_millis(300);
+/// Time after a missed poll when a request loses its position.
+const EXPIRY_GRACE: Duration = Duration::from_millis(300);
 
-/// Time after which half of the requests that came no longer count in their rate.
+/// Half-life of an arrival in the arrival rate.
 const ARRIVAL_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Least part of the calls that is left for a rank, however many more urgent requests come.
-const LEAST_LEFT: f64 = 0.05;
+/// Minimum fraction of the calls that is left for a rank, however many more urgent requests arrive.
+const MIN_REMAINING_RATIO: f64 = 0.05;
 
-/// A request that asks for its turn.
+/// A request for a permit.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// Number of the request; it keeps it while it waits.
+    /// Id of the request, constant while it waits.
     pub number: u64,
-    /// Its ranks; 0 goes first.
+    /// Ranks of the request; 0 is the most urgent.
     pub ranks: PermitRanks,
-    /// When it was first asked for.
+    /// Time of the first request for a permit.
     pub requested_at: Moment,
-    /// When it must be sent at the latest.
+    /// Latest time at which the request can be sent.
     pub deadline: Moment,
 }
 
-/// Whether it is a request's turn.
+/// Answer to a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitDecision {
-    /// It is.
+    /// The request may be sent.
     Granted,
-    /// Not yet; it has a place, and should ask again after this time.
+    /// The request is queued and should ask again after this time.
     Wait(Duration),
-    /// It can't be sent in time; there will be room for one like it after this time.
+    /// The request cannot be sent before its deadline. There will be capacity for a similar request
+    /// after this time.
     Rejected(Duration),
 }
 
-/// Calls that the targets take.
+/// Calls that a set of targets accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct CallSupply {
-    /// Whole calls that are free now.
+    /// Complete calls available now.
     ready: usize,
-    /// Time until the next one is.
+    /// Time until the next call becomes available.
     next: Duration,
-    /// Calls a second that become free.
+    /// Calls per second that become available.
     rate: CallRate,
 }
 
@@ -77,198 +78,205 @@
 }
 
 impl CallSupply {
-    /// Adds a target with so many free calls, parts of one among them, and so many more a second. Parts at
-    /// two targets are no call.
+    /// Adds a target with `tokens` available calls, which may be fractional, and `rate` further
+    /// calls per second. Fractions at different targets do not add up to a call.
     pub fn add(&mut self, tokens: f64, rate: CallRate) {
-        let whole = tokens.floor();
-        self.ready += whole.max(0.0) as usize;
-        let next = Duration::try_from_secs_f64((1.0 + whole - tokens) / rate);
+        let whole_tokens = tokens.floor();
+        self.ready += whole_tokens.max(0.0) as usize;
+        let next = Duration::try_from_secs_f64((1.0 + whole_tokens - tokens) / rate);
         self.next = self.next.min(next.unwrap_or(Duration::MAX));
         self.rate += rate;
     }
 
-    /// Returns the calls a second that become free.
+    /// Returns the calls per second that become available.
     pub fn rate(self) -> CallRate {
         self.rate
     }
 
-    /// Returns the time until the call is free that comes after so many others, at such a rate.
+    /// Returns the time until a call is available behind `ahead` others, if calls become available
+    /// at `rate`.
     fn wait(self, ahead: usize, rate: CallRate) -> Duration {
         if ahead < self.ready {
             return Duration::ZERO;
         }
-        let more = (ahead - self.ready) as f64 / rate;
-        let more = Duration::try_from_secs_f64(more).unwrap_or(Duration::MAX);
-        self.next.saturating_add(more)
+        let refill_time = (ahead - self.ready) as f64 / rate;
+        let refill_time = Duration::try_from_secs_f64(refill_time).unwrap_or(Duration::MAX);
+        self.next.saturating_add(refill_time)
     }
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
-struct TurnEntry {
-    ask: QueuedRequest,
-    /// Whether it waits for so long that nobody may take its place.
-    is_kept: bool,
-    /// When it is forgotten unless it asks again.
-    lost_at: Moment,
+struct PermitEntry {
+    request: QueuedRequest,
+    /// Whether the request has waited for so long that it may not be displaced.
+    is_protected: bool,
+    /// Time at which the entry is dropped unless the request asks again.
+    expires_at: Moment,
 }
 
-/// Requests that came in, as an average.
+/// Exponentially decaying arrival rate.
 #[derive(Clone, Copy, Debug, Default)]
 struct ArrivalRate {
     count: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl ArrivalRate {
-    fn aged(self, now: Moment) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
+    fn decayed(self, now: Moment) -> f64 {
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
         self.count * 0.5_f64.powf(age / ARRIVAL_HALF_LIFE.as_secs_f64())
     }
 
-    fn note(&mut self, now: Moment) {
-        self.count = self.aged(now) + 1.0;
-        self.at = now;
+    fn record(&mut self, now: Moment) {
+        self.count = self.decayed(now) + 1.0;
+        self.updated_at = now;
     }
 
-    /// Returns the requests a second: a steady stream adds up to its rate over the mean life.
+    /// Returns the arrivals per second. The decayed count of a steady stream equals its rate times
+    /// the mean lifetime of an arrival.
     fn rate(self, now: Moment) -> f64 {
-        self.aged(now) * std::f64::consts::LN_2 / ARRIVAL_HALF_LIFE.as_secs_f64()
+        self.decayed(now) * std::f64::consts::LN_2 / ARRIVAL_HALF_LIFE.as_secs_f64()
     }
 }
 
-/// The requests of all nodes that wait, the most urgent first.
+/// Waiting requests of all nodes, ordered by urgency.
 #[derive(Clone, Debug, Default)]
 pub struct PermitQueue {
-    waiting: Vec<TurnEntry>,
+    entries: Vec<PermitEntry>,
     arrivals: BTreeMap<PermitRanks, ArrivalRate>,
-    /// When the next request that is refused may come back.
-    next_return: Moment,
+    /// Earliest time at which the next rejected request may be retried.
+    next_retry_at: Moment,
 }
 
 impl PermitQueue {
-    /// Returns how many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.entries.len()
     }
 
-    /// Tells whether none waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Tells a request whether it is its turn.
+    /// Decides whether a request may be sent, and queues it if it has to wait.
     pub fn request(
         &mut self,
         now: Moment,
-        ask: &QueuedRequest,
+        request: &QueuedRequest,
         supply: CallSupply,
     ) -> PermitDecision {
-        self.waiting.retain(|entry| now < entry.lost_at);
-        let known = self.place_of(ask.number);
-        let (place, rate) = match known {
-            Some(place) => (place, supply.rate),
+        self.entries.retain(|entry| now < entry.expires_at);
+        let known = self.position_of(request.number);
+        let (position, rate) = match known {
+            Some(position) => (position, supply.rate),
             None => {
-                self.arrivals.entry(ask.ranks).or_default().note(now);
+                self.arrivals.entry(request.ranks).or_default().record(now);
                 (
-                    self.new_place(now, ask, supply),
-                    self.rate_left(now, ask.ranks, supply),
+                    self.insert_position(now, request, supply),
+                    self.remaining_rate(now, request.ranks, supply),
                 )
             }
         };
-        let wait = supply.wait(place, rate);
+        let wait = supply.wait(position, rate);
         if wait.is_zero() {
             if known.is_some() {
-                self.waiting.remove(place);
+                self.entries.remove(position);
             }
             return PermitDecision::Granted;
         }
-        if now.saturating_add(wait) > ask.deadline {
+        if now.saturating_add(wait) > request.deadline {
             if known.is_some() {
-                self.waiting.remove(place);
+                self.entries.remove(position);
             }
-            let late = now
+            let lateness = now
                 .saturating_add(wait)
-                .saturating_sub(ask.deadline.max(now));
-            return PermitDecision::Rejected(self.schedule_retry(now, late, rate));
+                .saturating_sub(request.deadline.max(now));
+            return PermitDecision::Rejected(self.schedule_retry(now, lateness, rate));
         }
-        PermitDecision::Wait(self.keep(now, place, known.is_some(), ask, supply))
+        PermitDecision::Wait(self.update_entry(now, position, known.is_some(), request, supply))
     }
 
-    /// Returns the time until it is the turn of a request like this, with so many that will come before it;
-    /// nothing is noted.
+    /// Estimates the wait of a request of these ranks behind `upcoming` further requests, without
+    /// recording anything.
     pub fn forecast(
         &self,
         now: Moment,
         ranks: PermitRanks,
-        coming: usize,
+        upcoming: usize,
         supply: CallSupply,
     ) -> Duration {
-        let waiting = self.waiting.iter().filter(|entry| now < entry.lost_at);
-        let ahead = waiting.filter(|entry| entry.ask.ranks <= ranks).count();
-        supply.wait(ahead + coming, self.rate_left(now, ranks, supply))
+        let entries = self.entries.iter().filter(|entry| now < entry.expires_at);
+        let ahead = entries.filter(|entry| entry.request.ranks <= ranks).count();
+        supply.wait(ahead + upcoming, self.remaining_rate(now, ranks, supply))
     }
 
-    /// Returns when a request should come back that would be late by so much, each at another time.
-    pub fn schedule_retry(&mut self, now: Moment, late: Duration, rate: CallRate) -> Duration {
-        let back = now.saturating_add(late).max(self.next_return);
+    /// Returns the delay after which a request that would be late by `lateness` should be retried.
+    /// Retries of different requests are spread out.
+    pub fn schedule_retry(&mut self, now: Moment, lateness: Duration, rate: CallRate) -> Duration {
+        let retry_at = now.saturating_add(lateness).max(self.next_retry_at);
         let longest = now + MAX_RETRY_AFTER;
         let step = Duration::try_from_secs_f64(1.0 / rate).unwrap_or(MAX_RETRY_AFTER);
-        self.next_return = back.saturating_add(step).min(longest);
-        back.min(longest).saturating_sub(now)
+        self.next_retry_at = retry_at.saturating_add(step).min(longest);
+        retry_at.min(longest).saturating_sub(now)
     }
 
-    fn place_of(&self, number: u64) -> Option<usize> {
-        let mut entries = self.waiting.iter();
-        entries.position(|entry| entry.ask.number == number)
+    fn position_of(&self, number: u64) -> Option<usize> {
+        let mut entries = self.entries.iter();
+        entries.position(|entry| entry.request.number == number)
     }
 
-    /// Returns the place of a request that comes: before all that are less urgent, but behind those that
-    /// are kept and would be late for it.
-    fn new_place(&self, now: Moment, ask: &QueuedRequest, supply: CallSupply) -> usize {
-        let goes_before = |entry: &TurnEntry| entry.ask.ranks <= ask.ranks;
-        let place = self.waiting.iter().rposition(goes_before);
-        let place = place.map_or(0, |place| place + 1);
-        let would_be_late = |(place, entry): (usize, &TurnEntry)| {
-            let turn = now.saturating_add(supply.wait(place + 1, supply.rate));
-            entry.is_kept && turn > entry.ask.deadline
+    /// Returns the position of a new request: before all less urgent ones, but behind protected
+    /// ones that would otherwise miss their deadline.
+    fn insert_position(&self, now: Moment, request: &QueuedRequest, supply: CallSupply) -> usize {
+        let goes_before = |entry: &PermitEntry| entry.request.ranks <= request.ranks;
+        let position = self.entries.iter().rposition(goes_before);
+        let position = position.map_or(0, |position| position + 1);
+        let would_be_delayed = |(position, entry): (usize, &PermitEntry)| {
+            let sent_at = now.saturating_add(supply.wait(position + 1, supply.rate));
+            entry.is_protected && sent_at > entry.request.deadline
         };
-        let last = self.waiting.iter().enumerate().skip(place);
-        let last = last.rev().find(|entry| would_be_late(*entry));
-        last.map_or(place, |(place, _)| place + 1)
+        let last = self.entries.iter().enumerate().skip(position);
+        let last = last.rev().find(|entry| would_be_delayed(*entry));
+        last.map_or(position, |(position, _)| position + 1)
     }
 
-    /// Returns the calls a second that are left for a rank beside what more urgent requests need.
-    fn rate_left(&self, now: Moment, ranks: PermitRanks, supply: CallSupply) -> CallRate {
+    /// Returns the calls per second that more urgent arrivals leave for a rank.
+    fn remaining_rate(&self, now: Moment, ranks: PermitRanks, supply: CallSupply) -> CallRate {
         let urgent = self.arrivals.range(..ranks);
         let urgent: f64 = urgent.map(|(_, arrivals)| arrivals.rate(now)).sum();
-        (supply.rate - urgent).max(supply.rate * LEAST_LEFT)
+        (supply.rate - urgent).max(supply.rate * MIN_REMAINING_RATIO)
     }
 
-    /// Keeps a request's place; returns when it should ask again.
-    fn keep(
+    /// Stores a request's entry, and returns the time until it should ask again.
+    fn update_entry(
         &mut self,
         now: Moment,
-        place: usize,
+        position: usize,
         is_known: bool,
-        ask: &QueuedRequest,
+        request: &QueuedRequest,
         supply: CallSupply,
     ) -> Duration {
-        let is_kept = now.saturating_sub(ask.requested_at) >= KEEP_SPAN;
-        let turn = supply.wait(place, supply.rate);
-        let kept_in = (ask.requested_at + KEEP_SPAN).saturating_sub(now);
-        let look = if is_kept { turn } else { turn.min(kept_in) };
-        let look = look.clamp(LEAST_LOOK, LOOK_SPAN);
-        let entry = TurnEntry {
-            ask: ask.clone(),
-            is_kept,
-            lost_at: now + look + LOST_SPAN,
+        let is_protected = now.saturating_sub(request.requested_at) >= PROTECTION_DELAY;
+        let wait = supply.wait(position, supply.rate);
+        let protected_in = (request.requested_at + PROTECTION_DELAY).saturating_sub(now);
+        let poll_in = if is_protected {
+            wait
+        } else {
+            wait.min(protected_in)
+        };
+        let poll_in = poll_in.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL);
+        let entry = PermitEntry {
+            request: request.clone(),
+            is_protected,
+            expires_at: now + poll_in + EXPIRY_GRACE,
         };
         if is_known {
-            self.waiting[place] = entry;
+            self.entries[position] = entry;
         } else {
-            self.waiting.insert(place, entry);
+            self.entries.insert(position, entry);
         }
-        look
+        poll_in
     }
 }
--- a/packages/turnford-fleet/src/placement.rs
+++ b/packages/turnford-fleet/src/placement.rs
@@ -1,50 +1,51 @@
-//! Which targets should have which models, from demand.
+//! Placement of models on targets by demand.
 
 use std::collections::BTreeMap;
 
 use crate::OrderKind;
 use crate::TargetOrder;
 
-/// Part of its slots that a model's targets may have busy before another target gets it.
-const FULL_PART: f64 = 0.7;
+/// Fraction of a model's slots that may be busy before another target loads the model.
+const TARGET_UTILIZATION: f64 = 0.7;
 
-/// One target as the plan sees it.
+/// A target as seen by the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelTarget {
-    /// Name.
+    /// Name of the target.
     pub name: String,
-    /// Calls that it runs at a time.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Models and adapters present.
+    /// Models and adapters that are loaded.
     pub models: Vec<String>,
-    /// Models and adapters that it can hold.
+    /// Maximum number of loaded models and adapters.
     pub model_capacity: usize,
 }
 
-/// Returns the orders that would serve a demand, given in busy slots by model.
+/// Returns the orders that adapt the targets to a demand, given in busy slots by model.
 ///
-/// Each round asks for at most one more target for each model, so that the effect of one order is
-/// seen before the next. A model is dropped only to make room, and never where it is the last.
+/// Each round loads a model on at most one more target, so that the effect of an order is observed
+/// before the next one. A model is unloaded only to make room for another, and never from its last
+/// target.
 pub fn plan_orders(demand: &BTreeMap<String, f64>, targets: &[ModelTarget]) -> Vec<TargetOrder> {
-    let mut lacking: Vec<(f64, &str)> = demand
+    let mut shortages: Vec<(f64, &str)> = demand
         .iter()
         .map(|(model, busy)| {
             (
-                busy / FULL_PART - capacity(model, demand, targets),
+                busy / TARGET_UTILIZATION - capacity(model, demand, targets),
                 model.as_str(),
             )
         })
-        .filter(|(lack, _)| *lack > 0.0)
+        .filter(|(shortage, _)| *shortage > 0.0)
         .collect();
-    lacking.sort_by(|left, right| right.0.total_cmp(&left.0));
+    shortages.sort_by(|left, right| right.0.total_cmp(&left.0));
     let mut orders: Vec<TargetOrder> = Vec::new();
-    for (_, model) in lacking {
+    for (_, model) in shortages {
         let free = targets.iter().filter(|target| {
-            let chosen = orders.iter().any(|order| order.target == target.name);
-            !chosen && !target.models.iter().any(|present| present == model)
+            let is_chosen = orders.iter().any(|order| order.target == target.name);
+            !is_chosen && !target.models.iter().any(|present| present == model)
         });
         let best = free.min_by(|left, right| {
-            let load = |target: &ModelTarget| load_of(target, demand, targets);
+            let load = |target: &ModelTarget| target_load(target, demand, targets);
             load(left)
                 .total_cmp(&load(right))
                 .then_with(|| left.name.cmp(&right.name))
@@ -56,7 +57,7 @@
     orders
 }
 
-/// Returns the load order, or first the order that makes room for it.
+/// Returns the order that loads a model, or the unload order that first makes room for it.
 fn order_for(
     target: &ModelTarget,
     model: &str,
@@ -76,38 +77,43 @@
         .filter(|other| other.name != target.name)
         .cloned()
         .collect();
-    let spare = target.models.iter().filter(|present| {
-        let held = others.iter().any(|other| other.models.contains(present));
+    let removable = target.models.iter().filter(|present| {
+        let is_elsewhere = others.iter().any(|other| other.models.contains(present));
         let busy = demand.get(*present).copied().unwrap_or(0.0);
-        held && busy / FULL_PART <= capacity(present, demand, &others)
+        is_elsewhere && busy / TARGET_UTILIZATION <= capacity(present, demand, &others)
     });
-    let least = spare.min_by(|left, right| {
+    let least = removable.min_by(|left, right| {
         let busy = |model: &String| demand.get(model).copied().unwrap_or(0.0);
         busy(left).total_cmp(&busy(right))
     });
     least.map(|model| order(OrderKind::Unload, model))
 }
 
-/// Returns the slots that serve a model; a target's slots are split over its models by demand.
+/// Returns the number of slots that serve a model. A target's slots are divided among its models in
+/// proportion to their demand.
 fn capacity(model: &str, demand: &BTreeMap<String, f64>, targets: &[ModelTarget]) -> f64 {
     let holders = targets
         .iter()
-        .filter(|target| target.models.iter().any(|held| held == model));
+        .filter(|target| target.models.iter().any(|present| present == model));
     let own = demand.get(model).copied().unwrap_or(0.0);
     holders
         .map(|target| {
             let all: f64 = target
                 .models
                 .iter()
-                .map(|held| demand.get(held).copied().unwrap_or(0.0))
+                .map(|present| demand.get(present).copied().unwrap_or(0.0))
                 .sum();
             f64::from(target.slots) * own / all.max(own).max(1e-9)
         })
         .sum()
 }
 
-/// Returns how busy a target's models make it.
-fn load_of(target: &ModelTarget, demand: &BTreeMap<String, f64>, targets: &[ModelTarget]) -> f64 {
+/// Returns the load of a target's models, relative to its slots.
+fn target_load(
+    target: &ModelTarget,
+    demand: &BTreeMap<String, f64>,
+    targets: &[ModelTarget],
+) -> f64 {
     let parts = target.models.iter().map(|model| {
         let holders = targets
             .iter()
--- a/packages/turnford-fleet/src/rumor.rs
+++ b/packages/turnford-fleet/src/rumor.rs
@@ -1,7 +1,7 @@
-//! Urgent news that every node passes on once: configuration changes and leaving targets.
+//! Rumors that every node forwards once: configuration changes and leaving targets.
 //!
-//! A node that hears something new tells a few others at once. What gets lost is found later: a
-//! configuration gap by the version that every probe carries, a leaving target by the VM list.
+//! A node that learns something new immediately tells a few others. Lost rumors are recovered
+//! later: a configuration gap by the version in every probe, a leaving target by the VM list.
 
 use std::collections::VecDeque;
 use std::hash::Hash;
@@ -11,52 +11,54 @@
 
 use crate::ConfigChange;
 
-/// Nodes that each node tells. News reaches nearly all of a large fleet so; the others find the gap.
+/// Number of nodes to which each node forwards a rumor. At this fan-out rumors reach nearly all
+/// nodes of a large fleet; the others detect the gap.
 pub const RUMOR_FANOUT: usize = 3;
 
-/// News remembered, so that each is passed on once.
-const SEEN_LIMIT: usize = 1024;
+/// Number of rumors remembered, so that each is forwarded only once.
+const MAX_SEEN: usize = 1024;
 
-/// One piece of news.
+/// A rumor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, bincode::Encode, bincode::Decode)]
 pub enum Rumor {
     /// A configuration object changed.
     Config(ConfigChange),
-    /// A target leaves. The count tells one leave from a later one of the same name.
+    /// A target is leaving.
     Leaving {
         /// Service of the target.
         service: String,
         /// Name of the target.
         target: String,
-        /// Random number of the first node that saw it.
+        /// Random number chosen by the first node that noticed. Distinguishes successive departures
+        /// of targets with the same name.
         event: u64,
     },
 }
 
-/// News that this node has seen.
+/// Rumors that this node has seen.
 #[derive(Debug, Default)]
 pub struct RumorTable {
     seen: VecDeque<u64>,
 }
 
 impl RumorTable {
-    /// Returns those of `rumors` that are new here, which are to be acted on and passed on.
+    /// Returns the rumors that are new to this node. The caller handles and forwards them.
     pub fn take_new(&mut self, rumors: Vec<Rumor>) -> Vec<Rumor> {
         rumors
             .into_iter()
-            .filter(|rumor| self.note(rumor))
+            .filter(|rumor| self.insert(rumor))
             .collect()
     }
 
-    fn note(&mut self, rumor: &Rumor) -> bool {
+    fn insert(&mut self, rumor: &Rumor) -> bool {
         let mut hasher = SipHasher13::new();
         rumor.hash(&mut hasher);
-        let sum = hasher.finish();
-        if self.seen.contains(&sum) {
+        let hash = hasher.finish();
+        if self.seen.contains(&hash) {
             return false;
         }
-        self.seen.push_back(sum);
-        if self.seen.len() > SEEN_LIMIT {
+        self.seen.push_back(hash);
+        if self.seen.len() > MAX_SEEN {
             self.seen.pop_front();
         }
         true
