--- a/packages/turnford-fleet/src/share.rs
+++ b/packages/turnford-fleet/src/share.rs
@@ -5,61 +5,61 @@
 use crate::Moment;
 use crate::Version;
 
-/// How long a grant holds, counted by its holder from before it asked. It is longer than the time
-/// in which a lost lender is replaced, so that its nodes keep their shares meanwhile.
-pub(crate) const GRANT_LIFE: Duration = Duration::from_secs(10);
+/// Validity of a grant, measured by its holder from before the request. Longer than the time needed
+/// to replace a lost lender, so that nodes keep their shares meanwhile.
+pub(crate) const GRANT_TTL: Duration = Duration::from_secs(10);
 
-/// How long a node without a lender waits before it takes its even part. By then every grant that
-/// was lent without reserving that part is over.
-pub(crate) const FALLBACK_WAIT: Duration = Duration::from_secs(20);
+/// Time without a lender after which a node uses its even share. By then every grant that was made
+/// without reserving that share has expired.
+pub(crate) const FALLBACK_DELAY: Duration = Duration::from_secs(20);
 
-/// How long a request may run on after its node's grant ended. Templates with longer deadlines can
-/// exceed an account's concurrency by the requests of a node that was cut off.
-pub(crate) const RUN_SPAN: Duration = Duration::from_secs(5);
+/// Time for which a request may continue after its node's grant expired. Templates with longer
+/// deadlines can exceed an account's concurrency by the requests of a disconnected node.
+pub(crate) const MAX_RUN_TIME: Duration = Duration::from_secs(5);
 
-/// Order of grants: the lender's lease token, then the lender's own count.
+/// Order of grants: the token of the lender's lease, then the lender's own counter.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, bincode::Encode, bincode::Decode,
 )]
 pub struct GrantNumber {
-    /// Token of the lease under which it was granted.
+    /// Token of the lease under which the grant was made.
     pub token: Version,
-    /// Number under that token.
+    /// Sequence number under that token.
     pub sequence: u64,
 }
 
 /// A rate and a concurrency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, bincode::Encode, bincode::Decode)]
 pub struct ShareSize {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests at a time.
+    /// Concurrent requests.
     pub concurrency: u32,
 }
 
-/// What a lender lets a node use.
+/// Share that a lender grants to a node.
 #[derive(Clone, Debug, PartialEq, bincode::Encode, bincode::Decode)]
 pub struct ShareGrant {
     /// Name of the account.
     pub account: String,
-    /// Order of the grant.
+    /// Position in the order of grants.
     pub number: GrantNumber,
-    /// What may be used.
+    /// Granted share.
     pub size: ShareSize,
 }
 
-/// What a node needs of one account, and what it uses.
+/// A node's demand for one account, and its current use.
 #[derive(Clone, Debug, PartialEq, bincode::Encode, bincode::Decode)]
 pub struct ShareDemand {
     /// Name of the account.
     pub account: String,
-    /// Requests a second that came, refused ones among them.
+    /// Arriving requests per second, including rejected ones.
     pub rate: f64,
-    /// Requests that run.
+    /// Requests in progress.
     pub running: u32,
-    /// Newest grant that the node ever held; it never goes back to an older one.
+    /// Newest grant that the node has held. It never returns to an older one.
     pub newest: GrantNumber,
-    /// What the node may use now, by a grant or without a lender.
+    /// Share that the node may use now, by a grant or without a lender.
     pub using: ShareSize,
 }
 
@@ -73,8 +73,8 @@
 }
 
 impl ShareSize {
-    /// Returns one node's even part. The concurrency is rounded down, so the parts never add up to
-    /// more than the whole.
+    /// Returns the even share of one node. The concurrency is rounded down, so the shares never add
+    /// up to more than the total.
     pub fn even_share(self, fleet_size: u32) -> Self {
         let nodes = fleet_size.max(1);
         Self {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns the smaller of each.
+    /// Returns the minimum of each component.
     pub fn min(self, other: Self) -> Self {
         Self {
             rate: self.rate.min(other.rate),
@@ -93,7 +93,7 @@
 }
 
 impl ShareHolder {
-    /// Starts without a share. `fleet_size` is the most nodes that the fleet ever has.
+    /// Creates a holder without a share. `fleet_size` is the maximum number of nodes in the fleet.
     pub fn new(limit: ShareSize, fleet_size: u32) -> Self {
         Self {
             limit,
@@ -103,30 +103,31 @@
         }
     }
 
-    /// Sets new limits. A grant made from the old ones is cut to the even part of the new.
+    /// Sets new limits. A grant based on the old limits is reduced to the even share of the new
+    /// ones.
     pub fn set_limit(&mut self, limit: ShareSize) {
         if limit == self.limit {
             return;
         }
         self.limit = limit;
-        let part = limit.even_share(self.fleet_size);
+        let even_share = limit.even_share(self.fleet_size);
         if let Some((_, size)) = &mut self.grant {
-            *size = size.min(part);
+            *size = size.min(even_share);
         }
     }
 
-    /// Takes a grant that was asked for at `asked`, unless a later one was held.
-    pub fn apply(&mut self, asked: Moment, grant: &ShareGrant) {
+    /// Applies a grant that was requested at `asked_at`, unless a later one was held.
+    pub fn apply(&mut self, asked_at: Moment, grant: &ShareGrant) {
         if grant.number > self.newest {
             self.newest = grant.number;
-            self.grant = Some((asked + GRANT_LIFE, grant.size));
+            self.grant = Some((asked_at + GRANT_TTL, grant.size));
         }
     }
 
-    /// Notes that the lender answered without being asked for this account: it counts nothing here
-    /// once the last grant is over.
+    /// Clears an expired grant after the lender replied to a request that did not include this
+    /// account: the lender no longer counts anything for this node.
     pub fn clear_expired(&mut self, now: Moment) {
-        if self.grant.is_some_and(|(ends, _)| now >= ends) {
+        if self.grant.is_some_and(|(ends_at, _)| now >= ends_at) {
             self.grant = None;
         }
     }
@@ -136,20 +137,21 @@
         self.newest
     }
 
-    /// Returns what this node may use now. `contact` is when it last received a lender's reply, or
-    /// when the node started.
+    /// Returns the share that this node may use now. `contact` is the time of the last reply from a
+    /// lender, or of the node's start.
     ///
-    /// A lender that does not hear of a node for some seconds reserves its even part. So a node
-    /// whose grant ended keeps what lies within that part, and takes the whole part after a wait.
+    /// A lender reserves the even share of a node that it has not heard from for some seconds. A
+    /// node whose grant has expired therefore keeps the part of it within the even share, and uses
+    /// the whole even share after a delay.
     pub fn usable(&self, now: Moment, contact: Moment) -> ShareSize {
         if self.fleet_size == 1 {
             return self.limit;
         }
-        let part = self.limit.even_share(self.fleet_size);
+        let even_share = self.limit.even_share(self.fleet_size);
         match self.grant {
-            Some((ends, size)) if now < ends => size,
-            _ if now >= contact + FALLBACK_WAIT => part,
-            Some((_, size)) => size.min(part),
+            Some((ends_at, size)) if now < ends_at => size,
+            _ if now >= contact + FALLBACK_DELAY => even_share,
+            Some((_, size)) => size.min(even_share),
             None => ShareSize::default(),
         }
     }
--- a/packages/turnford-fleet/src/trial.rs
+++ b/packages/turnford-fleet/src/trial.rs
@@ -1,4 +1,4 @@
-//! Suspects that run now, as the node knows them that places them for all.
+//! Running suspects, as known to the node that places the requests of a service.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,91 +9,91 @@
 use crate::CrashVerdict;
 use crate::Moment;
 
-/// Time after a trial in which the news of its end reaches the node that places: most is told within
-/// milliseconds, what is lost is learned by comparing.
-const NEWS_SPAN: Duration = Duration::from_secs(1);
+/// Time after a trial within which the placing node learns of its outcome. Most updates arrive
+/// within milliseconds; lost ones are recovered by comparing checksums.
+const RESULT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Number of a trial, given by whoever places the request.
+/// Id of a trial, assigned by the placing node.
 pub type TrialId = u64;
 
 /// Whether a request may run now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrialAdmission {
-    /// Like any other.
+    /// The request may run without restrictions.
     Unrestricted,
-    /// As the only copy of it.
+    /// The request may run as the only copy of itself.
     OnTrial {
         /// Whether no other suspect may share its target.
         is_alone: bool,
-        /// Targets where it must not run, since other suspects do.
+        /// Targets that must not be used, because other suspects run there.
         taken: Vec<TargetId>,
     },
-    /// Not now: another copy of it runs.
+    /// The request has to wait, because another copy of it is running or its outcome is unknown.
     Held,
-    /// Not until then.
+    /// The request is refused until this time.
     Refused(Moment),
 }
 
-/// A suspect that runs.
+/// A running suspect.
 #[derive(Clone, Debug)]
 struct TrialRun {
     digest: RequestDigest,
     target: TargetId,
     /// Whether no other suspect may share its target.
     is_alone: bool,
-    /// When it has ended at the latest, also where its node is gone and tells nothing.
-    ends_by: Moment,
-    known: KnownCrashes,
+    /// Latest end of the run, also if its node fails and reports nothing.
+    deadline: Moment,
+    known: CrashCounts,
 }
 
-/// Crashes that were known of a request.
+/// Number of crashes known for a request.
 #[derive(Clone, Copy, Debug, Default)]
-struct KnownCrashes {
+struct CrashCounts {
     crashes: usize,
     trials: usize,
 }
 
-/// A trial that is over, while it is not known how it ended.
+/// A trial that has ended but whose outcome is unknown.
 #[derive(Clone, Debug)]
-struct OpenTrial {
+struct UnresolvedTrial {
     is_alone: bool,
-    /// What was known when it began.
-    known: KnownCrashes,
-    /// When its end was first seen.
-    since: Option<Moment>,
+    /// Crashes known at its start.
+    known: CrashCounts,
+    /// Time at which its end was first observed.
+    seen_at: Option<Moment>,
 }
 
-impl OpenTrial {
-    /// Tells whether a crash became known that may be this trial's.
-    fn has_crashed(&self, known: KnownCrashes) -> bool {
+impl UnresolvedTrial {
+    /// Returns whether a newly known crash may have occurred during this trial.
+    fn has_crashed(&self, known: CrashCounts) -> bool {
         let is_known = known.crashes > self.known.crashes;
         known.trials > self.known.trials || (is_known && !self.is_alone)
     }
 }
 
-/// The suspects of one service that run now: each once at a time in the whole fleet, so that a
-/// request which crashes targets ends one of them, not as many as it has copies.
+/// Running suspects of one service. At most one copy of each runs at a time in the whole fleet, so
+/// that a harmful request crashes one target instead of one per copy.
 #[derive(Clone, Debug, Default)]
 pub struct TrialTable {
     runs: HashMap<TrialId, TrialRun>,
-    open: HashMap<RequestDigest, OpenTrial>,
-    /// What is known of the request that entered last.
-    entered: KnownCrashes,
+    unresolved: HashMap<RequestDigest, UnresolvedTrial>,
+    /// Crashes known for the request that was admitted last.
+    admitted: CrashCounts,
 }
 
 impl TrialTable {
-    /// Returns whether a request may run now, by what is known of it. After a trial the next one waits
-    /// until it is known how that ended: a crash may be the last one that it takes to refuse the request.
+    /// Decides whether a request may run now. After a trial, the next copy waits until the outcome
+    /// is known, because a crash may be the one that gets the request refused.
     pub fn admit(
         &mut self,
         now: Moment,
         digest: &RequestDigest,
         verdict: CrashVerdict,
     ) -> TrialAdmission {
-        self.forget(now);
+        self.expire(now);
         let (is_alone, crashes, trials) = match verdict {
             CrashVerdict::Clear => {
-                self.open.remove(digest);
+                self.unresolved.remove(digest);
                 return TrialAdmission::Unrestricted;
             }
             CrashVerdict::Refused(until) => return TrialAdmission::Refused(until),
@@ -106,12 +106,12 @@
         if self.runs.values().any(|run| run.digest == *digest) {
             return TrialAdmission::Held;
         }
-        self.entered = KnownCrashes { crashes, trials };
-        let open = self.open.get(digest);
-        if open.is_some_and(|open| !open.has_crashed(self.entered)) {
+        self.admitted = CrashCounts { crashes, trials };
+        let unresolved = self.unresolved.get(digest);
+        if unresolved.is_some_and(|unresolved| !unresolved.has_crashed(self.admitted)) {
             return TrialAdmission::Held;
         }
-        self.open.remove(digest);
+        self.unresolved.remove(digest);
         let runs = self.runs.values();
         let taken = runs.filter(|run| is_alone || run.is_alone);
         TrialAdmission::OnTrial {
@@ -120,41 +120,44 @@
         }
     }
 
-    /// Notes that a suspect runs from now on.
+    /// Records the start of a suspect's run.
     pub fn start(
         &mut self,
-        ticket: TrialId,
+        trial_id: TrialId,
         digest: RequestDigest,
         target: TargetId,
         is_alone: bool,
-        ends_by: Moment,
+        deadline: Moment,
     ) {
         let run = TrialRun {
             digest,
             target,
             is_alone,
-            ends_by,
-            known: self.entered,
+            deadline,
+            known: self.admitted,
         };
-        self.runs.insert(ticket, run);
+        self.runs.insert(trial_id, run);
     }
 
-    /// Notes that a trial is over.
-    pub fn end(&mut self, ticket: TrialId) {
-        let Some(run) = self.runs.remove(&ticket) else {
+    /// Records the end of a trial.
+    pub fn end(&mut self, trial_id: TrialId) {
+        let Some(run) = self.runs.remove(&trial_id) else {
             return;
         };
-        let open = OpenTrial {
+        let unresolved = UnresolvedTrial {
             is_alone: run.is_alone,
             known: run.known,
-            since: None,
+            seen_at: None,
         };
-        self.open.insert(run.digest, open);
+        self.unresolved.insert(run.digest, unresolved);
     }
 
-    fn forget(&mut self, now: Moment) {
-        self.runs.retain(|_, run| run.ends_by > now);
-        let is_open = |open: &mut OpenTrial| now < *open.since.get_or_insert(now) + NEWS_SPAN;
-        self.open.retain(|_, open| is_open(open));
+    fn expire(&mut self, now: Moment) {
+        self.runs.retain(|_, run| run.deadline > now);
+        let is_unresolved = |unresolved: &mut UnresolvedTrial| {
+            now < *unresolved.seen_at.get_or_insert(now) + RESULT_TIMEOUT
+        };
+        self.unresolved
+            .retain(|_, unresolved| is_unresolved(unresolved));
     }
 }
--- a/packages/turnford-fleet/src/watcher.rs
+++ b/packages/turnford-fleet/src/watcher.rs
@@ -1,21 +1,22 @@
-//! Which nodes watch the platform's store for all nodes of their hall.
+//! Selection of the nodes that watch the platform's store on behalf of their hall.
 //!
-//! Each call to the store has its price, and its rates grow more slowly than the fleet. So a few
-//! nodes of a hall watch, and the others ask them. A node that gets no answer asks the store itself,
-//! so nothing depends on all nodes agreeing on who watches.
+//! Calls to the store are expensive, and its rate limits grow more slowly than the fleet. A few
+//! nodes per hall therefore watch the store, and the others query them. A node that gets no
+//! response queries the store itself, so correctness does not depend on all nodes agreeing on the
+//! watchers.
 
 use crate::rank_members;
 use crate::Duty;
 
-/// Least number of watchers in a hall, so that one can fail.
-const LEAST_WATCHERS: usize = 2;
+/// Minimum number of watchers in a hall, so that one can fail.
+const MIN_WATCHERS: usize = 2;
 
-/// Nodes of a hall that one watcher answers, each about once a second.
+/// Nodes of a hall served by one watcher; each node queries it about once a second.
 const NODES_PER_WATCHER: usize = 16;
 
-/// Returns the nodes that watch for a hall, out of its nodes, in the order in which others ask them.
+/// Returns the watchers among the nodes of a hall, in the order in which other nodes query them.
 pub fn choose_watchers<'a>(hall: &str, nodes: &[&'a str]) -> Vec<&'a str> {
-    let count = nodes.len().div_ceil(NODES_PER_WATCHER).max(LEAST_WATCHERS);
+    let count = nodes.len().div_ceil(NODES_PER_WATCHER).max(MIN_WATCHERS);
     let duty = Duty::Watch(hall.to_owned());
     rank_members(&duty, nodes.iter().copied(), count)
 }
