--- a/packages/turnford-fleet/src/limit_allocator.rs
+++ b/packages/turnford-fleet/src/limit_allocator.rs
@@ -52,7 +52,7 @@
     pub target: String,
     /// Start of the target's process in milliseconds of the time of day; 0 if the target does not
     /// report it.
-    pub born: ProcessStart,
+    pub process_start: ProcessStart,
     /// Sequence number of the entry, increasing within a term.
     pub sequence: u64,
     /// Current state of the limit.
@@ -326,7 +326,7 @@
 fn entry_for(target: &TargetId, limited: &LimitedTarget) -> LimitEntry {
     LimitEntry {
         target: target.to_string(),
-        born: limited.born,
+        process_start: limited.born,
         sequence: limited.sequence,
         state: limited.announced,
     }
--- a/packages/turnford-fleet/src/limit_term.rs
+++ b/packages/turnford-fleet/src/limit_term.rs
@@ -10,9 +10,9 @@
     /// Name of the node.
     pub name: NodeName,
     /// Start of its process in milliseconds of the time of day.
-    pub process: u64,
+    pub process_start: u64,
     /// Address at which it accepts work from other nodes.
-    pub work: SocketAddr,
+    pub work_address: SocketAddr,
 }
 
 /// A term in which one process allocates limits. The later of two competing terms wins; if two
--- a/packages/turnford-fleet/src/member.rs
+++ b/packages/turnford-fleet/src/member.rs
@@ -59,7 +59,7 @@
     /// Address for the protocol between nodes.
     pub address: SocketAddr,
     /// Address for work that nodes hand over to each other.
-    pub work: SocketAddr,
+    pub work_address: SocketAddr,
     /// Hall of the member.
     pub hall: String,
     /// Incarnation number, raised only by the member itself. If it starts with the time of day, a
--- a/packages/turnford-fleet/src/trial.rs
+++ b/packages/turnford-fleet/src/trial.rs
@@ -29,7 +29,7 @@
         taken: Vec<TargetId>,
     },
     /// The request has to wait, because another copy of it is running or its outcome is unknown.
-    Held,
+    Wait,
     /// The request is refused until this time.
     Refused(Moment),
 }
@@ -104,12 +104,12 @@
             } => (is_alone, crashes, trials),
         };
         if self.runs.values().any(|run| run.digest == *digest) {
-            return TrialAdmission::Held;
+            return TrialAdmission::Wait;
         }
         self.admitted = CrashCounts { crashes, trials };
         let unresolved = self.unresolved.get(digest);
         if unresolved.is_some_and(|unresolved| !unresolved.has_crashed(self.admitted)) {
-            return TrialAdmission::Held;
+            return TrialAdmission::Wait;
         }
         self.unresolved.remove(digest);
         let runs = self.runs.values();
--- a/packages/turnford-fleet/tests/crash_spread.rs
+++ b/packages/turnford-fleet/tests/crash_spread.rs
@@ -262,7 +262,7 @@
             TrialAdmission::Unrestricted => (Vec::new(), None),
             TrialAdmission::OnTrial { is_alone, taken } => (taken, Some(is_alone)),
             TrialAdmission::Refused(_) => return self.refused.push((digest, self.now)),
-            TrialAdmission::Held => return self.hold(digest, node, since),
+            TrialAdmission::Wait => return self.hold(digest, node, since),
         };
         let is_free = |target: &usize| {
             self.started_at[*target] > 0 && !taken.contains(&TargetId::from(name(*target)))
--- a/packages/turnford-fleet/tests/limit_division.rs
+++ b/packages/turnford-fleet/tests/limit_division.rs
@@ -122,13 +122,13 @@
 fn allocator_id(number: usize, process: u64) -> AllocatorId {
     AllocatorId {
         name: format!("node-{number}"),
-        process,
-        work: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
+        process_start: process,
+        work_address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
     }
 }
 
 fn number_of(id: &AllocatorId) -> usize {
-    usize::from(id.work.port() - 7000)
+    usize::from(id.work_address.port() - 7000)
 }
 
 struct World {
@@ -614,9 +614,9 @@
 
     fn known_entries(&self, node: usize) -> Vec<LimitEntry> {
         let known_entries = self.nodes[node].board.announced();
-        let entries = known_entries.map(|(target, born, sequence, state)| LimitEntry {
+        let entries = known_entries.map(|(target, process_start, sequence, state)| LimitEntry {
             target: target.to_string(),
-            born,
+            process_start,
             sequence,
             state,
         });
--- a/packages/turnford-fleet/tests/member_heal.rs
+++ b/packages/turnford-fleet/tests/member_heal.rs
@@ -115,7 +115,7 @@
     MemberUpdate {
         name: name(number),
         address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
-        work: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
+        work_address: SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16)),
         hall: "hal-a".to_owned(),
         incarnation,
         state: MemberState::Alive,
--- a/packages/turnford-fleet/tests/trial_news.rs
+++ b/packages/turnford-fleet/tests/trial_news.rs
@@ -71,11 +71,11 @@
 fn unknown_end() {
     let mut placer = Placer::default();
     placer.run_trial();
-    assert_eq!(placer.admit(START + MS), TrialAdmission::Held);
-    assert_eq!(placer.admit(START + 500 * MS), TrialAdmission::Held);
+    assert_eq!(placer.admit(START + MS), TrialAdmission::Wait);
+    assert_eq!(placer.admit(START + 500 * MS), TrialAdmission::Wait);
     // Crashes caused by earlier copies say nothing about this trial.
     placer.crash(START + 500 * MS, "four", CrashPart::Shared);
-    assert_eq!(placer.admit(START + 500 * MS), TrialAdmission::Held);
+    assert_eq!(placer.admit(START + 500 * MS), TrialAdmission::Wait);
     placer.crash(START + 600 * MS, "three", CrashPart::BegunTrial);
     let entry = placer.admit(START + 600 * MS);
     assert!(matches!(entry, TrialAdmission::OnTrial { .. }));
@@ -95,7 +95,7 @@
 fn lost_news() {
     let mut placer = Placer::default();
     placer.run_trial();
-    assert_eq!(placer.admit(START + MS), TrialAdmission::Held);
+    assert_eq!(placer.admit(START + MS), TrialAdmission::Wait);
     let entry = placer.admit(START + 2_000 * MS);
     assert!(matches!(entry, TrialAdmission::OnTrial { .. }));
 }
--- a/packages/turnford-node/examples/capacity.rs
+++ b/packages/turnford-node/examples/capacity.rs
@@ -111,7 +111,10 @@
     MemberUpdate {
         name: format!("dk-vest-hal-a-node-{number:04}"),
         address: SocketAddr::from(([10, 20, (number / 250) as u8, (number % 250) as u8], 7000)),
-        work: SocketAddr::from(([10, 20, (number / 250) as u8, (number % 250) as u8], 7000)),
+        work_address: SocketAddr::from((
+            [10, 20, (number / 250) as u8, (number % 250) as u8],
+            7000,
+        )),
         hall: format!("hal-{}", number % 7),
         incarnation: 1,
         state: MemberState::Alive,
--- a/packages/turnford-node/src/control/context.rs
+++ b/packages/turnford-node/src/control/context.rs
@@ -52,7 +52,7 @@
         let own = MemberUpdate {
             name: settings.name.to_string(),
             address: settings.inner,
-            work: settings.inner,
+            work_address: settings.inner,
             hall: settings.hall.to_string(),
             incarnation: 1,
             state: MemberState::Alive,
--- a/packages/turnford-node/src/control/members.rs
+++ b/packages/turnford-node/src/control/members.rs
@@ -300,7 +300,7 @@
         let update = MemberUpdate {
             name: object.key.trim_start_matches(NODE_PREFIX).to_owned(),
             address: record.address,
-            work: record.address,
+            work_address: record.address,
             hall: record.hall,
             incarnation: 0,
             state: MemberState::Alive,
--- a/packages/turnford-serve/src/control/context.rs
+++ b/packages/turnford-serve/src/control/context.rs
@@ -121,7 +121,7 @@
         let own = MemberUpdate {
             name: settings.name.to_string(),
             address: settings.inner,
-            work: settings.work,
+            work_address: settings.work,
             hall: settings.hall.to_string(),
             incarnation: shared.started,
             state: MemberState::Alive,
--- a/packages/turnford-serve/src/control/members.rs
+++ b/packages/turnford-serve/src/control/members.rs
@@ -108,7 +108,7 @@
             name: Arc::from(record.update.name.as_str()),
             hall: Arc::from(record.update.hall.as_str()),
             inner: record.update.address,
-            work: record.update.work,
+            work: record.update.work_address,
             started: record.update.incarnation,
         })
         .collect();
@@ -341,7 +341,7 @@
     let update = MemberUpdate {
         name: object.name.clone(),
         address: record.inner,
-        work: record.work,
+        work_address: record.work,
         hall: record.hall,
         incarnation: record.started,
         state: MemberState::Alive,
--- a/packages/turnford-serve/src/limit_updates.rs
+++ b/packages/turnford-serve/src/limit_updates.rs
@@ -107,7 +107,9 @@
         limits.record_holder(&news.term);
         take_limits(limits, news);
     }
-    updates.iter().any(|news| news.term.holder.work == peer)
+    updates
+        .iter()
+        .any(|news| news.term.holder.work_address == peer)
 }
 
 /// Takes a word where this node divides; false if it does not.
@@ -173,9 +175,9 @@
     let board = limits.table.borrow();
     let entries = board
         .announced()
-        .map(|(target, born, sequence, state)| LimitEntry {
+        .map(|(target, process_start, sequence, state)| LimitEntry {
             target: target.to_string(),
-            born,
+            process_start,
             sequence,
             state,
         });
--- a/packages/turnford-serve/src/limits.rs
+++ b/packages/turnford-serve/src/limits.rs
@@ -113,7 +113,7 @@
         };
         let now = self.peers.shared.now();
         let is_own = term.holder == own_divider(&self.peers);
-        let holder = term.holder.work;
+        let holder = term.holder.work_address;
         if is_own && !self.peers.shared.is_draining() {
             None
         } else if !is_own && self.peers.state(holder).accepts_work(now) {
@@ -148,7 +148,7 @@
             AllocationRole::Unconfirmed(term) => {
                 // One that stops refuses this, though it is there.
                 let request = WorkRequest::LimitSync(vec![self.mark()]);
-                let look = look_for(self.peers.clone(), term.holder.work, request);
+                let look = look_for(self.peers.clone(), term.holder.work_address, request);
                 self.peers.executor.spawn(look).detach();
             }
             AllocationRole::Allocates { .. } | AllocationRole::Remote(_) => {}
@@ -157,7 +157,7 @@
     }
 
     fn sight(&self, now: Moment, holder: &AllocatorId) -> HolderStatus {
-        let state = self.peers.state(holder.work);
+        let state = self.peers.state(holder.work_address);
         let heard = state.heard.get();
         if !state.accepts_work(now) {
             HolderStatus::Unreachable
@@ -180,7 +180,7 @@
             );
             self.is_divided.set(true);
             self.table.borrow_mut().reset_sequences();
-            self.peers.state(term.holder.work).note_heard_of();
+            self.peers.state(term.holder.work_address).note_heard_of();
         }
         is_later
     }
@@ -189,7 +189,7 @@
     pub(crate) fn record_holder(&self, term: &LimitTerm) {
         self.note_term(term);
         self.is_divided.set(true);
-        self.peers.state(term.holder.work).note_heard_of();
+        self.peers.state(term.holder.work_address).note_heard_of();
     }
 
     /// Tells this node's traffic and some others what the divider says anew; everything where it has just
@@ -237,7 +237,13 @@
             let target: TargetId = entry.target.as_str().into();
             let mut board = self.table.borrow_mut();
             let before = board.state(&target);
-            if board.apply(now, &target, entry.born, entry.sequence, entry.state) {
+            if board.apply(
+                now,
+                &target,
+                entry.process_start,
+                entry.sequence,
+                entry.state,
+            ) {
                 is_new = true;
                 if before != entry.state {
                     let state = entry.state;
@@ -381,8 +387,8 @@
     let shared = &peers.shared;
     AllocatorId {
         name: shared.settings.name.to_string(),
-        process: shared.started,
-        work: shared.settings.work,
+        process_start: shared.started,
+        work_address: shared.settings.work,
     }
 }
 
--- a/packages/turnford-serve/src/trial.rs
+++ b/packages/turnford-serve/src/trial.rs
@@ -127,7 +127,7 @@
         TrialAdmission::Refused(until) => {
             return CheckedPlacement::Refused(until.saturating_sub(now))
         }
-        TrialAdmission::Held => return CheckedPlacement::Held,
+        TrialAdmission::Wait => return CheckedPlacement::Held,
         TrialAdmission::OnTrial { is_alone, taken } => (is_alone, taken),
     };
     let is_any_taken = !taken.is_empty();
--- a/packages/turnford-wire/examples/limit_cost.rs
+++ b/packages/turnford-wire/examples/limit_cost.rs
@@ -69,8 +69,8 @@
         number: 12,
         holder: AllocatorId {
             name: "front-piassa-3".to_owned(),
-            process: 1_796_279_614_729,
-            work: "10.3.0.12:7742".parse().expect("an address"),
+            process_start: 1_796_279_614_729,
+            work_address: "10.3.0.12:7742".parse().expect("an address"),
         },
     };
     let ask = WorkRequest::Permit(PermitAcquire {
@@ -90,7 +90,7 @@
     let news = |count: usize| {
         let entry = LimitEntry {
             target: "i-91b9f41feb".to_owned(),
-            born: 1_796_279_614_729,
+            process_start: 1_796_279_614_729,
             sequence: 7,
             state: LimitState::Limited(1.0),
         };
