--- a/packages/turnford-fleet/src/crash.rs
+++ b/packages/turnford-fleet/src/crash.rs
@@ -155,8 +155,7 @@
         let open = crashes.filter(|crash| !crash.is_cleared && crash.crashed_at <= ended_at);
         let cleared = open.map(|crash| crash.is_cleared = true).count();
         if cleared > 0 {
-            self.trial_crashes
-                .retain(|_, trial_crashes| *trial_crashes != digest);
+            self.trial_crashes.retain(|_, on_trial| *on_trial != digest);
         }
         cleared > 0
     }
@@ -209,9 +208,9 @@
         if now.saturating_sub(crash.crashed_at) >= RETENTION {
             return false;
         }
-        let trial_crashes = self.trial_crashes.get(&crash.process);
-        let trial_crashes = trial_crashes.filter(|trial_crashes| *trial_crashes != digest);
-        let other = trial_crashes.and_then(|trial_crashes| self.entries.get(trial_crashes));
+        let on_trial = self.trial_crashes.get(&crash.process);
+        let on_trial = on_trial.filter(|on_trial| *on_trial != digest);
+        let other = on_trial.and_then(|on_trial| self.entries.get(on_trial));
         crash.part.is_trial()
             || other
                 .is_none_or(|other| other.open_crashes().count() <= entry.open_crashes().count())
@@ -266,7 +265,7 @@
     pub fn updates_for(&self, now: Moment, digest: &RequestDigest) -> Vec<CrashUpdate> {
         let entry = self.entries.get(digest);
         let crashes = entry.into_iter().flat_map(CrashEntry::open_crashes);
-        let update = crashes.map(|crash| {
+        let updates = crashes.map(|crash| {
             let is_doubtful = self.is_correlated(digest, crash) || self.is_ambiguous(digest, crash);
             let part = if is_doubtful {
                 CrashPart::Shared
@@ -279,7 +278,7 @@
             };
             reported.update(now, digest)
         });
-        update.collect()
+        updates.collect()
     }
 
     /// Returns the number of requests whose score reaches the refusal threshold.
@@ -315,8 +314,8 @@
             let crashes = entry.crashes.iter();
             crashes.map(move |crash| (digest, crash))
         });
-        let update = crashes.map(|(digest, crash)| crash.update(now, digest));
-        update.take(MAX_SNAPSHOT_UPDATES).collect()
+        let updates = crashes.map(|(digest, crash)| crash.update(now, digest));
+        updates.take(MAX_SNAPSHOT_UPDATES).collect()
     }
 
     /// If the table is too large, removes outdated requests and then the least relevant ones.
--- a/packages/turnford-fleet/src/lease.rs
+++ b/packages/turnford-fleet/src/lease.rs
@@ -196,9 +196,7 @@
         }
         // An action that has just started may still take effect, so the release waits for it.
         let releasing_since = self.releasing_since.filter(|_| self.held.is_some());
-        if releasing_since
-            .is_some_and(|unchanged_since| now < unchanged_since + self.settings.max_action_time)
-        {
+        if releasing_since.is_some_and(|since| now < since + self.settings.max_action_time) {
             return None;
         }
         self.call_sent_at = Some(now);
--- a/packages/turnford-fleet/src/limit_allocator.rs
+++ b/packages/turnford-fleet/src/limit_allocator.rs
@@ -62,7 +62,7 @@
 /// State of one target.
 #[derive(Clone, Debug)]
 struct LimitedTarget {
-    born: ProcessStart,
+    process_start: ProcessStart,
     record: LimitRecord,
     bucket: LimitBucket,
     /// State that was announced last.
@@ -96,14 +96,20 @@
 
     /// Adopts the limit of a target as known to a requesting node, unless this node knows the
     /// target's limit itself. A new allocator may have missed it.
-    pub fn adopt(&mut self, now: Moment, target: &TargetId, born: ProcessStart, state: LimitState) {
+    pub fn adopt(
+        &mut self,
+        now: Moment,
+        target: &TargetId,
+        process_start: ProcessStart,
+        state: LimitState,
+    ) {
         let known = self.targets.get(target);
-        let is_known = known.is_some_and(|known| known.born == born);
+        let is_known = known.is_some_and(|known| known.process_start == process_start);
         if is_known || !state.needs_permit() {
             return;
         }
         let record = LimitRecord::new(now, state, now);
-        self.insert(now, target, born, record);
+        self.insert(now, target, process_start, record);
     }
 
     /// Sets whether this node reaches at least half of the nodes that may be alive. A disconnected
@@ -117,18 +123,18 @@
         &mut self,
         now: Moment,
         target: &TargetId,
-        born: ProcessStart,
+        process_start: ProcessStart,
         observation: LimitObservation,
     ) {
         let known = self.targets.get(target);
-        let is_known = known.is_some_and(|known| known.born == born);
+        let is_known = known.is_some_and(|known| known.process_start == process_start);
         if !is_known {
             if observation.signal.rate().is_none() {
                 return;
             }
             // Calls sent until now did not need a permit.
             let record = LimitRecord::new(now, LimitState::Free, Moment::ZERO);
-            self.insert(now, target, born, record);
+            self.insert(now, target, process_start, record);
         }
         if let Some(known) = self.targets.get_mut(target) {
             known.record.observe(now, observation);
@@ -136,9 +142,15 @@
         self.advance(now, target);
     }
 
-    fn insert(&mut self, now: Moment, target: &TargetId, born: ProcessStart, record: LimitRecord) {
+    fn insert(
+        &mut self,
+        now: Moment,
+        target: &TargetId,
+        process_start: ProcessStart,
+        record: LimitRecord,
+    ) {
         let limited = LimitedTarget {
-            born,
+            process_start,
             record,
             bucket: LimitBucket::new(now),
             announced: LimitState::Free,
@@ -152,7 +164,7 @@
     /// Drops targets that are no longer listed or have restarted.
     pub fn retain_listed(&mut self, is_listed: impl Fn(&TargetId, ProcessStart) -> bool) {
         self.targets
-            .retain(|target, limited| is_listed(target, limited.born));
+            .retain(|target, limited| is_listed(target, limited.process_start));
     }
 
     /// Returns the entries that changed since the last call.
@@ -225,11 +237,11 @@
     pub fn request_permit(
         &mut self,
         now: Moment,
-        ask: &QueuedRequest,
+        request: &QueuedRequest,
         targets: &[TargetId],
     ) -> PermitDecision {
         let supply = self.supply(now, targets);
-        self.queue.request(now, ask, supply)
+        self.queue.request(now, request, supply)
     }
 
     /// Estimates the time until a request of these ranks gets a permit, behind `upcoming` requests
@@ -326,7 +338,7 @@
 fn entry_for(target: &TargetId, limited: &LimitedTarget) -> LimitEntry {
     LimitEntry {
         target: target.to_string(),
-        process_start: limited.born,
+        process_start: limited.process_start,
         sequence: limited.sequence,
         state: limited.announced,
     }
--- a/packages/turnford-fleet/tests/claim_copies.rs
+++ b/packages/turnford-fleet/tests/claim_copies.rs
@@ -158,7 +158,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::histories(1000))]
+    #![proptest_config(common::proptest_config(1000))]
 
     /// Each id is granted once during the lifetime of its committer, regardless of how often the
     /// platform is restored.
--- a/packages/turnford-fleet/tests/claim_race.rs
+++ b/packages/turnford-fleet/tests/claim_race.rs
@@ -270,7 +270,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::histories(2000))]
+    #![proptest_config(common::proptest_config(2000))]
 
     #[test]
     fn one_sender(events in prop::collection::vec(event(), 1..150)) {
@@ -373,7 +373,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::histories(500))]
+    #![proptest_config(common::proptest_config(500))]
 
     #[test]
     fn damaged_block(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
--- a/packages/turnford-fleet/tests/common/mod.rs
+++ b/packages/turnford-fleet/tests/common/mod.rs
@@ -10,7 +10,7 @@
 /// Returns the configuration of a randomised test with `cases` cases.
 ///
 /// `TURNFORD_CASES` overrides the number of cases, and `TURNFORD_SEED` the seed.
-pub(crate) fn histories(cases: u32) -> Config {
+pub(crate) fn proptest_config(cases: u32) -> Config {
     let number = |name: &str| {
         std::env::var(name)
             .ok()
--- a/packages/turnford-fleet/tests/config_order.rs
+++ b/packages/turnford-fleet/tests/config_order.rs
@@ -22,7 +22,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::histories(2000))]
+    #![proptest_config(common::proptest_config(2000))]
 
     #[test]
     fn never_reverts(order in prop::collection::vec(0_usize..30, 1..200)) {
--- a/packages/turnford-fleet/tests/crash_spread.rs
+++ b/packages/turnford-fleet/tests/crash_spread.rs
@@ -555,7 +555,7 @@
 }
 
 proptest! {
-    #![proptest_config(Config { max_shrink_iters: 0, ..common::histories(48) })]
+    #![proptest_config(Config { max_shrink_iters: 0, ..common::proptest_config(48) })]
 
     #[test]
     fn bounded_crashes(seed in any::<u64>()) {
--- a/packages/turnford-fleet/tests/lease_copies.rs
+++ b/packages/turnford-fleet/tests/lease_copies.rs
@@ -49,7 +49,7 @@
     responds_at: Moment,
     /// Whether the sender receives the response.
     is_answered: bool,
-    answer: LeaseOutcome,
+    outcome: LeaseOutcome,
     /// Time since the platform's last restore, as reported in the response.
     restored_ago: Option<Duration>,
 }
@@ -165,8 +165,8 @@
             self.nodes[number].is_wanted = self.rng.random_bool(0.6);
         }
         if self.random_event(Duration::from_secs(20)) {
-            let min_interval = Duration::from_millis(self.rng.random_range(100..9000));
-            self.nodes[number].paused_until = self.now + min_interval;
+            let pause = Duration::from_millis(self.rng.random_range(100..9000));
+            self.nodes[number].paused_until = self.now + pause;
         }
         if self.random_event(Duration::from_secs(40)) {
             let last_used_at = self.nodes[number].last_used_at;
@@ -206,7 +206,7 @@
             takes_effect_at: now + takes_effect_at,
             responds_at: now + responds_at,
             is_answered: takes_effect_at <= responds_at && self.rng.random_bool(0.9),
-            answer: LeaseOutcome::Failed,
+            outcome: LeaseOutcome::Failed,
             restored_ago: None,
         });
     }
@@ -216,7 +216,7 @@
         let mut calls = std::mem::take(&mut self.calls);
         for call in calls.iter_mut().filter(|call| call.takes_effect_at <= now) {
             call.takes_effect_at = Moment::MAX;
-            call.answer = apply_call(&mut self.stored, &call.action);
+            call.outcome = apply_call(&mut self.stored, &call.action);
             if self.reports_restores {
                 let ago = self.restored_at.map_or(Duration::MAX, |at| now - at);
                 call.restored_ago = Some(ago);
@@ -228,14 +228,14 @@
                 continue;
             }
             call.responds_at = Moment::MAX;
-            let answer = std::mem::replace(&mut call.answer, LeaseOutcome::Failed);
-            let answer = if call.is_answered {
-                answer
+            let outcome = std::mem::replace(&mut call.outcome, LeaseOutcome::Failed);
+            let outcome = if call.is_answered {
+                outcome
             } else {
                 LeaseOutcome::Failed
             };
             node.holder.set_restored_ago(call.restored_ago.take());
-            node.holder.handle_outcome(now, answer);
+            node.holder.handle_outcome(now, outcome);
         }
         calls.retain(|call| call.takes_effect_at < Moment::MAX || call.responds_at < Moment::MAX);
         self.calls = calls;
@@ -297,7 +297,7 @@
 }
 
 proptest! {
-    #![proptest_config(Config { max_shrink_iters: 0, ..common::histories(200) })]
+    #![proptest_config(Config { max_shrink_iters: 0, ..common::proptest_config(200) })]
 
     /// Only one node acts at a time, and tokens never decrease, however old the backup is.
     #[test]
@@ -347,9 +347,9 @@
     fn step(&mut self) {
         self.now += TICK;
         if let Some(action) = self.holder.step(self.now, true, false) {
-            let answer = apply_call(&mut self.stored, &action);
+            let outcome = apply_call(&mut self.stored, &action);
             self.holder.set_restored_ago(self.restored_ago);
-            self.holder.handle_outcome(self.now, answer);
+            self.holder.handle_outcome(self.now, outcome);
         }
     }
 
@@ -468,9 +468,9 @@
         }
     };
     world.now += LeaseSettings::default().duration;
-    let answer = apply_call(&mut world.stored, &action);
-    assert!(matches!(answer, LeaseOutcome::Accepted(_)));
-    world.holder.handle_outcome(world.now, answer);
+    let outcome = apply_call(&mut world.stored, &action);
+    assert!(matches!(outcome, LeaseOutcome::Accepted(_)));
+    world.holder.handle_outcome(world.now, outcome);
     assert_eq!(world.holder.token(world.now), None);
     assert!(world.acquire() >= Duration::from_secs(4));
 }
--- a/packages/turnford-fleet/tests/lease_pause.rs
+++ b/packages/turnford-fleet/tests/lease_pause.rs
@@ -88,13 +88,13 @@
                 delayed,
             } => {
                 if let Some(action) = self.calls[holder].take() {
-                    let answer = self.apply_call(action, effect, delayed);
-                    let answer = if answered {
-                        answer
+                    let outcome = self.apply_call(action, effect, delayed);
+                    let outcome = if answered {
+                        outcome
                     } else {
                         LeaseOutcome::Failed
                     };
-                    self.holders[holder].handle_outcome(self.now, answer);
+                    self.holders[holder].handle_outcome(self.now, outcome);
                 }
             }
             Event::DeliverLate => {
@@ -206,7 +206,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::histories(4000))]
+    #![proptest_config(common::proptest_config(4000))]
 
     /// Guards against two holders after a restore lost acknowledged writes and versions are reused.
     /// Two ways led there: a lease missing from the backup was acquired at once, while its holder
--- a/packages/turnford-fleet/tests/limit_division.rs
+++ b/packages/turnford-fleet/tests/limit_division.rs
@@ -33,7 +33,7 @@
 use turnford_policy::Moment;
 use turnford_policy::TargetId;
 
-use common::histories;
+use common::proptest_config;
 
 /// Length of the checked windows, and time until the limit is known to all nodes.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -66,7 +66,7 @@
     Answer(u64, Answer),
     Update(LimitTerm, Vec<LimitEntry>),
     Sync(Option<LimitTerm>),
-    Heard(LimitSignal, Duration, Duration, Option<LimitTerm>),
+    Observed(LimitSignal, Duration, Duration, Option<LimitTerm>),
     Alive,
     IsAlive,
 }
@@ -97,19 +97,19 @@
 struct PendingRequest {
     requested_at: Moment,
     to: usize,
-    tries: u32,
+    attempts: u32,
 }
 
 struct Node {
     process: u64,
     is_up: bool,
     is_stopping: bool,
-    frozen_until: Moment,
-    cut_until: Moment,
-    division: AllocatorElection,
-    board: LimitTable,
+    suspended_until: Moment,
+    disconnected_until: Moment,
+    election: AllocatorElection,
+    table: LimitTable,
     down: BTreeMap<usize, Moment>,
-    heard: BTreeMap<usize, Moment>,
+    last_contacts: BTreeMap<usize, Moment>,
     pending: BTreeMap<u64, PendingRequest>,
     /// Number of this node's next permit request, unique across its restarts.
     next_request: u64,
@@ -168,12 +168,12 @@
                 process: 1,
                 is_up: true,
                 is_stopping: false,
-                frozen_until: Moment::ZERO,
-                cut_until: Moment::ZERO,
-                division: AllocatorElection::new(id),
-                board: LimitTable::default(),
+                suspended_until: Moment::ZERO,
+                disconnected_until: Moment::ZERO,
+                election: AllocatorElection::new(id),
+                table: LimitTable::default(),
                 down: BTreeMap::new(),
-                heard: BTreeMap::new(),
+                last_contacts: BTreeMap::new(),
                 pending: BTreeMap::new(),
                 next_request: 0,
                 informed_at: None,
@@ -221,8 +221,8 @@
     }
 
     /// Postpones an event of a suspended node. Returns true if the event must not be handled now.
-    fn is_frozen(&mut self, node: usize, event: &Event) -> bool {
-        let until = self.nodes[node].frozen_until;
+    fn is_suspended(&mut self, node: usize, event: &Event) -> bool {
+        let until = self.nodes[node].suspended_until;
         if until <= self.now {
             return false;
         }
@@ -235,29 +235,29 @@
             Event::Request => self.request(),
             Event::Arrive(_, to, process, _) => {
                 let (to, process) = (*to, *process);
-                if self.nodes[to].process == process && !self.is_frozen(to, &event) {
+                if self.nodes[to].process == process && !self.is_suspended(to, &event) {
                     let Event::Arrive(from, to, _, message) = event else {
                         return;
                     };
                     self.receive(from, to, message);
                 }
             }
-            Event::Timeout(node, process, request_permit) => {
-                let (node, process, request_permit) = (*node, *process, *request_permit);
-                if self.nodes[node].process == process && !self.is_frozen(node, &event) {
-                    if let Some(pending) = self.nodes[node].pending.remove(&request_permit) {
+            Event::Timeout(node, process, request) => {
+                let (node, process, request) = (*node, *process, *request);
+                if self.nodes[node].process == process && !self.is_suspended(node, &event) {
+                    if let Some(pending) = self.nodes[node].pending.remove(&request) {
                         self.nodes[node]
                             .down
                             .insert(pending.to, self.now + DOWN_PERIOD);
-                        self.request_permit(node, pending.tries + 1);
+                        self.request_permit(node, pending.attempts + 1);
                     }
                 }
             }
             Event::AliveTimeout(node, process, other, requested_at) => {
                 let (node, process, other, requested_at) = (*node, *process, *other, *requested_at);
-                if self.nodes[node].process == process && !self.is_frozen(node, &event) {
-                    let heard = self.nodes[node].heard.get(&other);
-                    if heard.is_none_or(|heard| *heard < requested_at) {
+                if self.nodes[node].process == process && !self.is_suspended(node, &event) {
+                    let last_contact = self.nodes[node].last_contacts.get(&other);
+                    if last_contact.is_none_or(|last_contact| *last_contact < requested_at) {
                         self.nodes[node].down.insert(other, self.now + DOWN_PERIOD);
                     }
                 }
@@ -265,13 +265,13 @@
             Event::AtTarget(node, sent) => self.at_target(*node, *sent),
             Event::CallDone(node, process, signal, sent) => {
                 let (node, process, signal, sent) = (*node, *process, *signal, *sent);
-                if self.nodes[node].process == process && !self.is_frozen(node, &event) {
+                if self.nodes[node].process == process && !self.is_suspended(node, &event) {
                     self.call_done(node, signal, sent);
                 }
             }
             Event::Tick(node, process) => {
                 let (node, process) = (*node, *process);
-                if self.nodes[node].process == process && !self.is_frozen(node, &event) {
+                if self.nodes[node].process == process && !self.is_suspended(node, &event) {
                     self.tick(node);
                 }
             }
@@ -286,10 +286,10 @@
         self.schedule(pause, Event::Request);
         let now = self.now;
         let state = &self.nodes[node];
-        if !state.is_up || state.frozen_until > now {
+        if !state.is_up || state.suspended_until > now {
             return;
         }
-        if self.nodes[node].board.try_acquire(now, TARGET) {
+        if self.nodes[node].table.try_acquire(now, TARGET) {
             self.send_call(node);
         } else if self.nodes[node].is_denied_until <= now && self.nodes[node].pending.is_empty() {
             self.request_permit(node, 0);
@@ -297,8 +297,8 @@
     }
 
     fn send_call(&mut self, node: usize) {
-        let way = self.span(0.0005, 0.004);
-        self.schedule(way, Event::AtTarget(node, self.now));
+        let delay = self.span(0.0005, 0.004);
+        self.schedule(delay, Event::AtTarget(node, self.now));
     }
 
     fn at_target(&mut self, node: usize, sent: Moment) {
@@ -318,32 +318,45 @@
         if signal.rate().is_some() {
             self.nodes[node].informed_at.get_or_insert(now);
         }
-        let heard = LimitObservation {
+        let observation = LimitObservation {
             signal,
             sent_at,
             received_at: now,
         };
         let target: TargetId = TARGET.into();
-        if self.nodes[node].board.observe(&target, 0, heard).is_some() {
-            self.report_signal(node, heard);
+        if self.nodes[node]
+            .table
+            .observe(&target, 0, observation)
+            .is_some()
+        {
+            self.report_signal(node, observation);
         }
     }
 
     /// Reports the signal of a response to the allocator.
-    fn report_signal(&mut self, node: usize, heard: LimitObservation) {
-        let term = self.nodes[node].division.term().cloned();
+    fn report_signal(&mut self, node: usize, observation: LimitObservation) {
+        let term = self.nodes[node].election.term().cloned();
         match self.allocator_for(node) {
-            None => self.note_word(node, heard, term),
+            None => self.record_signal(node, observation, term),
             Some(to) => {
-                let sent = self.now - heard.sent_at;
-                let message =
-                    Message::Heard(heard.signal, sent, self.now - heard.received_at, term);
+                let sent = self.now - observation.sent_at;
+                let message = Message::Observed(
+                    observation.signal,
+                    sent,
+                    self.now - observation.received_at,
+                    term,
+                );
                 self.send(node, to, message);
             }
         }
     }
 
-    fn note_word(&mut self, node: usize, heard: LimitObservation, term: Option<LimitTerm>) {
+    fn record_signal(
+        &mut self,
+        node: usize,
+        observation: LimitObservation,
+        term: Option<LimitTerm>,
+    ) {
         let now = self.now;
         if !matches!(
             self.enter(node, term.as_ref()),
@@ -352,8 +365,8 @@
             return;
         }
         let target: TargetId = TARGET.into();
-        if let Some(allocator) = self.nodes[node].division.allocator() {
-            allocator.observe(now, &target, 0, heard);
+        if let Some(allocator) = self.nodes[node].election.allocator() {
+            allocator.observe(now, &target, 0, observation);
         }
         self.publish(node, false);
     }
@@ -362,7 +375,7 @@
     fn publish(&mut self, node: usize, is_new: bool) {
         let now = self.now;
         let state = &mut self.nodes[node];
-        let Some(allocator) = state.division.allocator() else {
+        let Some(allocator) = state.election.allocator() else {
             return;
         };
         let updates = allocator.take_updates(now);
@@ -374,7 +387,7 @@
     }
 
     fn forward(&mut self, node: usize, entries: Vec<LimitEntry>) {
-        let Some(term) = self.nodes[node].division.term().cloned() else {
+        let Some(term) = self.nodes[node].election.term().cloned() else {
             return;
         };
         for to in self.random_others(node, 6) {
@@ -396,8 +409,8 @@
         let mut is_new = false;
         for entry in entries {
             let target: TargetId = entry.target.as_str().into();
-            let board = &mut self.nodes[node].board;
-            is_new |= board.apply(now, &target, 0, entry.sequence, entry.state);
+            let table = &mut self.nodes[node].table;
+            is_new |= table.apply(now, &target, 0, entry.sequence, entry.state);
         }
         is_new
     }
@@ -406,25 +419,25 @@
         let now = self.now;
         let random_others = self.nodes.len();
         let state = &mut self.nodes[node];
-        let known = state.board.limited();
-        let (down, heard) = (&state.down, &state.heard);
+        let known = state.table.limited();
+        let (down, last_contacts) = (&state.down, &state.last_contacts);
         let status = |holder: &AllocatorId| {
             let holder = number_of(holder);
             if down.get(&holder).is_some_and(|until| *until > now) {
                 return HolderStatus::Unreachable;
             }
-            match heard.get(&holder) {
+            match last_contacts.get(&holder) {
                 Some(at) if now - *at < CONTACT_PERIOD => HolderStatus::Reachable,
                 _ => HolderStatus::Unknown,
             }
         };
-        let role = state.division.resolve(now, pending, status, known);
+        let role = state.election.resolve(now, pending, status, known);
         let down = state.down.values().filter(|until| **until > now).count();
-        if let Some(allocator) = state.division.allocator() {
+        if let Some(allocator) = state.election.allocator() {
             allocator.set_reaches_half(random_others - down >= down);
         }
         if role == (AllocationRole::Allocates { is_new: true }) {
-            self.nodes[node].board.reset_sequences();
+            self.nodes[node].table.reset_sequences();
             self.publish(node, true);
         }
         if let AllocationRole::Unconfirmed(term) = &role {
@@ -443,7 +456,7 @@
         let now = self.now;
         let state = &self.nodes[node];
         let is_down = |other: usize| state.down.get(&other).is_some_and(|until| *until > now);
-        let holder = state.division.term().map(|term| number_of(&term.holder));
+        let holder = state.election.term().map(|term| number_of(&term.holder));
         if let Some(holder) = holder.filter(|holder| !is_down(*holder)) {
             let is_own = holder == node;
             if !(is_own && state.is_stopping) {
@@ -457,17 +470,17 @@
         left.next().filter(|other| *other != node)
     }
 
-    fn request_permit(&mut self, node: usize, tries: u32) {
-        if tries >= 4 || !self.nodes[node].is_up {
+    fn request_permit(&mut self, node: usize, attempts: u32) {
+        if attempts >= 4 || !self.nodes[node].is_up {
             return;
         }
-        let term = self.nodes[node].division.term().cloned();
+        let term = self.nodes[node].election.term().cloned();
         match self.allocator_for(node) {
             None => {
                 if let AllocationRole::Allocates { .. } = self.enter(node, term.as_ref()) {
-                    let known = self.nodes[node].board.state(TARGET);
+                    let known = self.nodes[node].table.state(TARGET);
                     let answer = self.grant(node, known);
-                    self.take_answer(node, self.now, answer, tries);
+                    self.take_answer(node, self.now, answer, attempts);
                 }
             }
             Some(to) => {
@@ -477,10 +490,10 @@
                 let pending = PendingRequest {
                     requested_at: self.now,
                     to,
-                    tries,
+                    attempts,
                 };
                 state.pending.insert(number, pending);
-                let known = self.nodes[node].board.state(TARGET);
+                let known = self.nodes[node].table.state(TARGET);
                 self.send(node, to, Message::Request(number, term, known));
                 self.schedule(REQUEST_TIMEOUT, Event::Timeout(node, process, number));
             }
@@ -489,7 +502,7 @@
 
     fn grant(&mut self, node: usize, known: LimitState) -> Answer {
         let now = self.now;
-        let allocator = self.nodes[node].division.allocator();
+        let allocator = self.nodes[node].election.allocator();
         let taken = allocator.map(|allocator| {
             allocator.adopt(now, &TARGET.into(), 0, known);
             allocator.take(now, TARGET, PermitPurpose::Work)
@@ -501,14 +514,14 @@
         }
     }
 
-    fn take_answer(&mut self, node: usize, requested_at: Moment, answer: Answer, tries: u32) {
+    fn take_answer(&mut self, node: usize, requested_at: Moment, answer: Answer, attempts: u32) {
         let now = self.now;
         match answer {
             Answer::Granted => {
                 self.nodes[node]
-                    .board
+                    .table
                     .add_permit(TARGET, requested_at + PERMIT_LIFETIME);
-                if self.nodes[node].board.try_acquire(now, TARGET) {
+                if self.nodes[node].table.try_acquire(now, TARGET) {
                     self.send_call(node);
                 }
             }
@@ -516,15 +529,18 @@
             Answer::Elsewhere(term) => {
                 self.note_term(node, &term);
                 self.nodes[node].down.remove(&number_of(&term.holder));
-                self.request_permit(node, tries + 1);
+                self.request_permit(node, attempts + 1);
             }
             Answer::Refused => {}
         }
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let is_cut = |node: &Node| node.cut_until > self.now;
-        if is_cut(&self.nodes[from]) || is_cut(&self.nodes[to]) || !self.nodes[to].is_up {
+        let is_disconnected = |node: &Node| node.disconnected_until > self.now;
+        if is_disconnected(&self.nodes[from])
+            || is_disconnected(&self.nodes[to])
+            || !self.nodes[to].is_up
+        {
             return;
         }
         let is_faulty = self.has_faults && self.rng.random_bool(0.02);
@@ -534,17 +550,17 @@
         let copies = if is_faulty { 2 } else { 1 };
         let process = self.nodes[to].process;
         for _ in 0..copies {
-            let way = if self.has_faults && self.rng.random_bool(0.03) {
+            let delay = if self.has_faults && self.rng.random_bool(0.03) {
                 self.span(0.02, 0.4)
             } else {
                 self.span(0.0005, 0.005)
             };
-            self.schedule(way, Event::Arrive(from, to, process, message.clone()));
+            self.schedule(delay, Event::Arrive(from, to, process, message.clone()));
         }
     }
 
     fn receive(&mut self, from: usize, to: usize, message: Message) {
-        self.nodes[to].heard.insert(from, self.now);
+        self.nodes[to].last_contacts.insert(from, self.now);
         match message {
             // A stopping node rejects the message, which is equivalent to no response.
             Message::Alive if self.nodes[to].is_stopping => {}
@@ -568,20 +584,20 @@
                 };
                 if matches!(answer, Answer::Refused) {
                     self.nodes[to].down.insert(from, self.now + DOWN_PERIOD);
-                    self.request_permit(to, pending.tries + 1);
+                    self.request_permit(to, pending.attempts + 1);
                 } else {
-                    self.take_answer(to, pending.requested_at, answer, pending.tries);
+                    self.take_answer(to, pending.requested_at, answer, pending.attempts);
                 }
             }
             Message::Update(term, entries) => {
                 let is_later = self.note_term(to, &term);
-                let is_of_term = self.nodes[to].division.term() == Some(&term);
+                let is_of_term = self.nodes[to].election.term() == Some(&term);
                 if is_of_term && (self.take_entries(to, &entries) || is_later) {
                     self.forward(to, entries);
                 }
             }
             Message::Sync(term) => {
-                let own = self.nodes[to].division.term().cloned();
+                let own = self.nodes[to].election.term().cloned();
                 if own >= term {
                     if let Some(own) = own {
                         let entries = self.known_entries(to);
@@ -591,29 +607,29 @@
                     self.send(to, from, Message::Sync(own));
                 }
             }
-            Message::Heard(signal, sent, heard, term) => {
-                let heard = LimitObservation {
+            Message::Observed(signal, sent, received, term) => {
+                let observation = LimitObservation {
                     signal,
                     sent_at: self.now.saturating_sub(sent + Duration::from_millis(300)),
-                    received_at: self.now.saturating_sub(heard),
+                    received_at: self.now.saturating_sub(received),
                 };
-                self.note_word(to, heard, term);
+                self.record_signal(to, observation, term);
             }
         }
     }
 
     fn note_term(&mut self, node: usize, term: &LimitTerm) -> bool {
         let state = &mut self.nodes[node];
-        let is_later = state.division.observe_term(term);
+        let is_later = state.election.observe_term(term);
         if is_later {
-            state.board.reset_sequences();
+            state.table.reset_sequences();
             state.down.remove(&number_of(&term.holder));
         }
         is_later
     }
 
     fn known_entries(&self, node: usize) -> Vec<LimitEntry> {
-        let known_entries = self.nodes[node].board.announced();
+        let known_entries = self.nodes[node].table.announced();
         let entries = known_entries.map(|(target, process_start, sequence, state)| LimitEntry {
             target: target.to_string(),
             process_start,
@@ -627,8 +643,8 @@
         let process = self.nodes[node].process;
         self.schedule(SYNC_INTERVAL, Event::Tick(node, process));
         self.publish(node, false);
-        let is_allocator = self.nodes[node].division.allocator().is_some();
-        let term = self.nodes[node].division.term().cloned();
+        let is_allocator = self.nodes[node].election.allocator().is_some();
+        let term = self.nodes[node].election.term().cloned();
         for to in self.random_others(node, if is_allocator { 3 } else { 1 }) {
             self.send(node, to, Message::Sync(term.clone()));
         }
@@ -640,7 +656,7 @@
         self.schedule(pause, Event::Fault);
         let count = self.nodes.len();
         let allocators: Vec<usize> = (0..count)
-            .filter(|node| self.nodes[*node].division.allocator().is_some())
+            .filter(|node| self.nodes[*node].election.allocator().is_some())
             .collect();
         let mut node = self.rng.random_range(0..count);
         if !allocators.is_empty() && self.rng.random_bool(0.7) {
@@ -659,11 +675,11 @@
                 self.extend_excuse(node, span);
             }
             1 => {
-                self.nodes[node].frozen_until = now + span;
+                self.nodes[node].suspended_until = now + span;
                 self.extend_excuse(node, span);
             }
             2 => {
-                self.nodes[node].cut_until = now + span;
+                self.nodes[node].disconnected_until = now + span;
                 self.extend_excuse(node, span);
             }
             _ => {
@@ -685,10 +701,10 @@
         state.process += 1;
         state.is_up = true;
         state.is_stopping = false;
-        state.division = AllocatorElection::new(allocator_id(node, state.process));
-        state.board = LimitTable::default();
+        state.election = AllocatorElection::new(allocator_id(node, state.process));
+        state.table = LimitTable::default();
         state.down.clear();
-        state.heard.clear();
+        state.last_contacts.clear();
         state.pending.clear();
         state.informed_at = None;
         state.is_denied_until = Moment::ZERO;
@@ -722,7 +738,7 @@
 }
 
 proptest! {
-    #![proptest_config(histories(400))]
+    #![proptest_config(proptest_config(400))]
 
     /// Nodes crash, are suspended, stop or are disconnected, and messages are lost, delayed or
     /// duplicated.
--- a/packages/turnford-fleet/tests/order_fence.rs
+++ b/packages/turnford-fleet/tests/order_fence.rs
@@ -121,7 +121,7 @@
         let Some(action) = self.holders[sender].step(self.now, true, false) else {
             return;
         };
-        let answer = match action {
+        let outcome = match action {
             _ if !works => LeaseOutcome::Failed,
             LeaseAction::Read => LeaseOutcome::Found(self.lease.clone()),
             LeaseAction::Write { expected, record } => {
@@ -134,14 +134,14 @@
                 }
             }
         };
-        self.holders[sender].handle_outcome(self.now, answer);
+        self.holders[sender].handle_outcome(self.now, outcome);
     }
 
     fn end_action(&mut self, sender: usize, effect: bool, answered: bool) {
         let Some(action) = self.actions[sender].take() else {
             return;
         };
-        let answer = match action {
+        let outcome = match action {
             OrderAction::Read if answered => OrderOutcome::Found(self.record.clone()),
             OrderAction::Read => OrderOutcome::Failed,
             OrderAction::Write { expected, record } => {
@@ -177,25 +177,25 @@
                 _ => OrderOutcome::Deferred(Duration::from_millis(200)),
             },
         };
-        self.queues[sender].handle_outcome(self.now, answer);
+        self.queues[sender].handle_outcome(self.now, outcome);
     }
 
     /// Applies orders at the latest possible time. An older token after a newer one is an error.
     fn apply_orders(&mut self) -> Result<(), TestCaseError> {
         let now = self.now;
-        let (landed, flying): (Vec<OrderInFlight>, Vec<OrderInFlight>) = self
+        let (due, remaining): (Vec<OrderInFlight>, Vec<OrderInFlight>) = self
             .in_flight
             .drain(..)
-            .partition(|flight| flight.takes_effect_at <= now);
-        self.in_flight = flying;
-        for flight in landed {
-            let last_tokens = &mut self.last_tokens[flight.target];
+            .partition(|order| order.takes_effect_at <= now);
+        self.in_flight = remaining;
+        for order in due {
+            let last_token = &mut self.last_tokens[order.target];
             prop_assert!(
-                flight.token >= *last_tokens,
-                "token {} after {last_tokens}",
-                flight.token
+                order.token >= *last_token,
+                "token {} after {last_token}",
+                order.token
             );
-            *last_tokens = flight.token;
+            *last_token = order.token;
         }
         let open = self
             .record
@@ -207,8 +207,12 @@
 }
 
 fn holder(sender: usize, restarts: u64) -> LeaseHolder {
-    let mark = restarts * 1_000_000 + sender as u64 * 1_000;
-    LeaseHolder::new(format!("node-{sender}"), LeaseSettings::default(), mark)
+    let first_write_id = restarts * 1_000_000 + sender as u64 * 1_000;
+    LeaseHolder::new(
+        format!("node-{sender}"),
+        LeaseSettings::default(),
+        first_write_id,
+    )
 }
 
 fn order(target: usize) -> TargetOrder {
@@ -233,7 +237,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::histories(3000))]
+    #![proptest_config(common::proptest_config(3000))]
 
     #[test]
     fn rising_tokens(events in prop::collection::vec(event(), 1..250)) {
@@ -258,7 +262,7 @@
         } else {
             Vec::new()
         };
-        let answer = match queue.step(now, Some(9), &wanted, MAX_OPEN_ORDERS) {
+        let outcome = match queue.step(now, Some(9), &wanted, MAX_OPEN_ORDERS) {
             Some(OrderAction::Read) => OrderOutcome::Found(record.clone()),
             Some(OrderAction::Write { record: new, .. }) => {
                 let version = record.as_ref().map_or(0, |(version, _)| *version) + 1;
@@ -275,7 +279,7 @@
             }
             None => continue,
         };
-        queue.handle_outcome(now, answer);
+        queue.handle_outcome(now, outcome);
     }
     sent
 }
--- a/packages/turnford-fleet/tests/share_sum.rs
+++ b/packages/turnford-fleet/tests/share_sum.rs
@@ -219,7 +219,7 @@
 }
 
 proptest! {
-    #![proptest_config(common::histories(4000))]
+    #![proptest_config(common::proptest_config(4000))]
 
     #[test]
     fn within_limit(events in prop::collection::vec(event(), 1..250)) {
