--- a/packages/turnford-node/src/answer.rs
+++ b/packages/turnford-node/src/answer.rs
@@ -1,4 +1,4 @@
-//! The one end that a caller gets.
+//! The outcome of a request, as the client receives it.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use turnford_policy::RanStatus;
 use turnford_policy::ResultCode;
 
-/// What one stage did, for the caller and the log.
+/// Summary of a completed stage, for the client.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct StageRecord {
     pub(crate) stage: String,
@@ -21,9 +21,9 @@
     pub(crate) cached: u32,
 }
 
-/// The end of one request.
+/// The outcome of one request.
 #[derive(Clone, Debug)]
-pub(crate) struct RequestEnd {
+pub(crate) struct RequestOutcome {
     pub(crate) code: ResultCode,
     pub(crate) ran: RanStatus,
     pub(crate) message: String,
@@ -32,9 +32,9 @@
     pub(crate) stages: Vec<StageRecord>,
 }
 
-/// Body of an answer, and data of a stream's last event.
+/// JSON body of a response, and data of a stream's final event.
 #[derive(Serialize)]
-struct EndBody<'a> {
+struct OutcomeBody<'a> {
     code: u16,
     name: &'static str,
     ran: &'static str,
@@ -49,8 +49,8 @@
     stages: &'a [StageRecord],
 }
 
-impl RequestEnd {
-    /// Makes an end of a request for which nothing was ever handed to a target.
+impl RequestOutcome {
+    /// Makes the outcome of a request that was never sent to a target.
     pub(crate) fn not_run(code: ResultCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -62,16 +62,17 @@
         }
     }
 
-    /// Adds when a try is likely to fit.
+    /// Sets the time after which a retry is likely to be accepted.
     pub(crate) fn retry_after(mut self, span: Duration) -> Self {
         self.retry_after = Some(span);
         self
     }
 
-    /// Returns the JSON form; a stream's last event leaves the output out.
+    /// Encodes the outcome as JSON. The final event of a stream omits the output, which the client
+    /// already has.
     pub(crate) fn json(&self, trace: AttemptId, with_output: bool) -> Vec<u8> {
         let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
-        let body = EndBody {
+        let body = OutcomeBody {
             code: self.code.number(),
             name: self.code.name(),
             ran: self.ran.as_str(),
@@ -82,11 +83,11 @@
             trace: trace.to_string(),
             stages: &self.stages,
         };
-        // The type holds only text and numbers, so it always has a JSON form.
+        // The body consists of strings, numbers and booleans, so it always serializes.
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
-    /// Returns the whole answer.
+    /// Builds the HTTP response.
     pub(crate) fn response(&self, trace: AttemptId) -> HttpResponse {
         let status = StatusCode::try_from(self.code.http_status());
         let mut response = HttpResponse::new(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
--- a/packages/turnford-node/src/claim.rs
+++ b/packages/turnford-node/src/claim.rs
@@ -1,4 +1,5 @@
-//! A request's claim: taken before a call that must run at most once, settled at its end.
+//! Claims of requests: acquired before a call that must run at most once, settled when the request
+//! ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,52 +18,52 @@
 use turnford_policy::ResultCode;
 
 use crate::admit::AdmittedRequest;
-use crate::answer::RequestEnd;
+use crate::answer::RequestOutcome;
 use crate::state::NodeState;
 
-/// Longest wait for a claim.
-const CLAIM_LIMIT: Duration = Duration::from_millis(1500);
+/// Longest wait for a claim's verdict.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time in which a note on a claim is tried.
-const NOTE_LIMIT: Duration = Duration::from_secs(60);
+/// Time limit for recording the end of a claim.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Age over which a claim is not used. It is far below the time after which claims are cleared, so
-/// a request that slept never sends under a cleared claim.
-const CLAIM_LIFE: Duration = Duration::from_secs(300);
+/// Age from which a claim is no longer used. It is far below the retention time of claims, so a
+/// suspended request never sends under a claim that has been cleared.
+const MAX_CLAIM_AGE: Duration = Duration::from_secs(300);
 
-/// Hint for a caller while the platform is away.
-const AWAY_HINT: Duration = Duration::from_secs(2);
+/// Retry hint while claims can't be recorded.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A claim that this request holds. Dropped without an end, it is released if the call was never
-/// sent, and noted as unknown otherwise.
+/// A claim held by a request. If dropped without an outcome, it is released if no call was sent
+/// under it, and recorded as finished with an unknown outcome otherwise.
 pub(crate) struct ClaimGuard {
     state: Arc<NodeState>,
     key: ClaimKey,
     owner: ClaimOwner,
-    taken_at: Moment,
-    /// Calls under this claim that a target may have started.
+    acquired_at: Moment,
+    /// Calls sent under this claim that a target may have started.
     sent: u32,
-    end: Option<ResultCode>,
+    outcome: Option<ResultCode>,
 }
 
 impl ClaimGuard {
-    /// Notes that the call is about to be sent; false if the claim is too old to be used.
-    pub(crate) fn use_now(&mut self) -> bool {
-        let age = self.state.clock.now().saturating_sub(self.taken_at);
-        let usable = age < CLAIM_LIFE;
+    /// Records that a call is about to be sent. Returns false if the claim is too old to be used.
+    pub(crate) fn try_mark_sent(&mut self) -> bool {
+        let age = self.state.clock.now().saturating_sub(self.acquired_at);
+        let usable = age < MAX_CLAIM_AGE;
         self.sent += u32::from(usable);
         usable
     }
 
-    /// Notes that the last call surely did not start.
-    pub(crate) fn unuse(&mut self) {
+    /// Records that the last call is known not to have started.
+    pub(crate) fn unmark_sent(&mut self) {
         self.sent = self.sent.saturating_sub(1);
     }
 
-    /// Notes how the request ended, and keeps a whole answer to be given again.
-    pub(crate) fn finish(mut self, end: &RequestEnd) {
-        self.end = Some(end.code);
-        if let Some(output) = end.output.as_deref().filter(|_| self.sent > 0) {
+    /// Records the request's outcome and caches its output for repeated requests.
+    pub(crate) fn finish(mut self, outcome: &RequestOutcome) {
+        self.outcome = Some(outcome.code);
+        if let Some(output) = outcome.output.as_deref().filter(|_| self.sent > 0) {
             self.state.results.put(self.key, output);
         }
     }
@@ -70,22 +71,25 @@
 
 impl Drop for ClaimGuard {
     fn drop(&mut self) {
-        let ask = if self.sent > 0 {
-            let code = self.end.unwrap_or(ResultCode::OutcomeUnknown);
+        let request = if self.sent > 0 {
+            let code = self.outcome.unwrap_or(ResultCode::OutcomeUnknown);
             ClaimRequest::Finish(self.key, self.owner, code.number())
         } else {
             ClaimRequest::Release(self.key, self.owner)
         };
-        self.state.control.note_claim(ask, NOTE_LIMIT);
+        self.state.control.settle_claim(request, SETTLE_TIMEOUT);
     }
 }
 
-/// Takes the claim of a request that has an id and a stage that must run at most once.
+/// Acquires the claim of a request that has an id and a stage that must run at most once. Returns
+/// `None` if the request needs no claim.
 ///
-/// `Ok(None)` means that none is needed.
-pub(crate) async fn take_claim(
+/// # Errors
+///
+/// Returns the request's outcome if the id was used before or the claim can't be recorded.
+pub(crate) async fn acquire_claim(
     request: &AdmittedRequest,
-) -> Result<Option<ClaimGuard>, RequestEnd> {
+) -> Result<Option<ClaimGuard>, RequestOutcome> {
     let id = request.request_id.as_deref();
     let Some(id) = id.filter(|_| request.template.requires_claim()) else {
         return Ok(None);
@@ -93,38 +97,42 @@
     let key = claim_key(&request.account.name, id);
     let owner = owner_of(request.trace);
     let state = request.state.clone();
-    // From here on the claim may be written, so the guard settles it however this ends.
+    // From here on the claim may have been written, so the guard must settle it on every path.
     let guard = ClaimGuard {
         state: state.clone(),
         key,
         owner,
-        taken_at: state.clock.now(),
+        acquired_at: state.clock.now(),
         sent: 0,
-        end: None,
+        outcome: None,
     };
     let left = request.budget.deadline().saturating_sub(state.clock.now());
     let verdict = state
         .control
-        .claim(ClaimRequest::Acquire(key, owner), left.min(CLAIM_LIMIT))
+        .claim(ClaimRequest::Acquire(key, owner), left.min(CLAIM_TIMEOUT))
         .await;
     match verdict {
         ClaimVerdict::Granted => Ok(Some(guard)),
-        ClaimVerdict::Taken(entry) => Err(end_of_taken(&state, &key, entry.state)),
+        ClaimVerdict::Taken(entry) => Err(outcome_of_taken(&state, &key, entry.state)),
         ClaimVerdict::Full => {
             let message = "too many request ids are remembered";
-            Err(RequestEnd::not_run(ResultCode::ClaimFull, message).retry_after(AWAY_HINT))
+            Err(RequestOutcome::not_run(ResultCode::ClaimFull, message)
+                .retry_after(UNAVAILABLE_RETRY_AFTER))
         }
         ClaimVerdict::Unavailable => {
             let message = "the request id can't be recorded now";
-            Err(RequestEnd::not_run(ResultCode::ClaimUnavailable, message).retry_after(AWAY_HINT))
+            Err(
+                RequestOutcome::not_run(ResultCode::ClaimUnavailable, message)
+                    .retry_after(UNAVAILABLE_RETRY_AFTER),
+            )
         }
     }
 }
 
-/// Names the end of a request whose id was used before.
-fn end_of_taken(state: &NodeState, key: &ClaimKey, taken: ClaimState) -> RequestEnd {
+/// Returns the outcome of a request whose id was used before.
+fn outcome_of_taken(state: &NodeState, key: &ClaimKey, taken: ClaimState) -> RequestOutcome {
     let unknown = ResultCode::OutcomeUnknown.number();
-    let (knowledge, code, message) = match taken {
+    let (evidence, code, message) = match taken {
         ClaimState::Finished(code) if code != unknown => {
             let message = "the request with this id ran before";
             (ClaimEvidence::Ran, ResultCode::ClaimFinished, message)
@@ -138,21 +146,22 @@
             (ClaimEvidence::MayHaveRun, ResultCode::ClaimRunning, message)
         }
     };
-    let mut end = RequestEnd::not_run(code, message);
-    end.ran = RequestEvidence::from_claim(knowledge).ran();
+    let mut outcome = RequestOutcome::not_run(code, message);
+    outcome.ran = RequestEvidence::from_claim(evidence).ran();
     let output = state
         .results
         .get(key)
         .filter(|_| code == ResultCode::ClaimFinished);
     if let Some(output) = output {
-        end.code = ResultCode::DoneBefore;
-        end.message.clear();
-        end.output = Some(output);
+        outcome.code = ResultCode::DoneBefore;
+        outcome.message.clear();
+        outcome.output = Some(output);
     }
-    end
+    outcome
 }
 
-/// Hashes account and request id; the separator keeps one from running into the other.
+/// Hashes account and request id. The separator keeps different pairs from having the same
+/// concatenation.
 fn claim_key(account: &str, id: &str) -> ClaimKey {
     let mut hasher = Sha256::new();
     hasher.update(account.as_bytes());
--- a/packages/turnford-node/src/control.rs
+++ b/packages/turnford-node/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: members, configuration, targets, digests, claims and shares.
+//! The control thread: membership, configuration, targets, load digests, claims, leases, shares and
+//! orders.
 
 mod caches;
 mod claims;
@@ -27,10 +28,10 @@
 use crate::state::NodeState;
 use context::ControlContext;
 
-/// Pause between looks whether held work can be served.
-const PUMP_PAUSE: Duration = Duration::from_millis(5);
+/// Interval between dispatches of queued work.
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Runs all control work of a node; returns when `stop` does.
+/// Runs all control tasks of a node until `stop` completes.
 pub(crate) fn run_control(
     state: Arc<NodeState>,
     inbox: ControlInbox,
@@ -43,54 +44,52 @@
         .spawn(peers::serve_peers(context.clone(), listener))
         .detach();
     executor
-        .spawn(members::follow_members(context.clone()))
+        .spawn(members::run_membership(context.clone()))
         .detach();
     executor
-        .spawn(config::follow_config(context.clone()))
+        .spawn(config::watch_config(context.clone()))
         .detach();
     executor
-        .spawn(config::check_config(context.clone()))
+        .spawn(config::poll_config(context.clone()))
         .detach();
     executor
-        .spawn(targets::follow_targets(context.clone()))
+        .spawn(targets::poll_targets(context.clone()))
         .detach();
     executor
-        .spawn(targets::follow_reports(context.clone()))
+        .spawn(targets::poll_reports(context.clone()))
         .detach();
     executor
-        .spawn(targets::follow_signals(context.clone(), inbox.signals))
+        .spawn(targets::relay_signals(context.clone(), inbox.signals))
         .detach();
     executor
-        .spawn(caches::follow_caches(context.clone()))
-        .detach();
-    executor
-        .spawn(orders::give_orders(context.clone()))
+        .spawn(caches::poll_cache_events(context.clone()))
         .detach();
+    executor.spawn(orders::run_orders(context.clone())).detach();
     executor
         .spawn(digests::exchange_digests(context.clone()))
         .detach();
     executor
-        .spawn(claims::take_claims(context.clone(), inbox.claims))
+        .spawn(claims::serve_claims(context.clone(), inbox.claims))
         .detach();
     executor
-        .spawn(shares::take_fetches(context.clone(), inbox.shares))
+        .spawn(shares::serve_share_fetches(context.clone(), inbox.shares))
         .detach();
-    executor.spawn(shares::follow_shares(context)).detach();
+    executor.spawn(shares::run_shares(context)).detach();
     async_io::block_on(executor.run(stop));
 }
 
-/// Serves held work on a timer, for deadlines that pass while no call ends.
-pub(crate) async fn pump_pools(state: Arc<NodeState>) {
+/// Dispatches queued work on a timer, for deadlines that pass while no call ends.
+pub(crate) async fn dispatch_pools(state: Arc<NodeState>) {
     loop {
-        Timer::after(PUMP_PAUSE).await;
+        Timer::after(DISPATCH_INTERVAL).await;
         for pool in state.pools.load().values() {
-            pool.pump();
+            pool.dispatch();
         }
     }
 }
 
-/// Notes that the node can serve once configuration, targets and lenders are known.
-fn note_ready(state: &NodeState) {
+/// Marks the node as ready once configuration, targets and lenders are known.
+fn update_ready(state: &NodeState) {
     let known = !state.config.load().accounts.is_empty()
         && !state.pools.load().is_empty()
         && state.lenders_known.load(Ordering::SeqCst);
--- a/packages/turnford-node/src/control/caches.rs
+++ b/packages/turnford-node/src/control/caches.rs
@@ -1,4 +1,4 @@
-//! Follows the engines' cache events, which come late and with gaps. They are hints.
+//! Polls the engines' cache events. They arrive late and with gaps, so they serve only as hints.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,14 +10,14 @@
 
 use super::context::ControlContext;
 
-/// Pause between rounds.
-const ROUND_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between polling rounds.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Asks every engine for its events for as long as the node runs.
-pub(super) async fn follow_caches(context: Rc<ControlContext>) {
+/// Polls every engine for its cache events for as long as the node runs.
+pub(super) async fn poll_cache_events(context: Rc<ControlContext>) {
     let mut last: HashMap<TargetId, u64> = HashMap::new();
     loop {
-        Timer::after(ROUND_PAUSE).await;
+        Timer::after(ROUND_INTERVAL).await;
         for (service, pool) in context.state.pools.load_full().iter() {
             let engines: Vec<TargetId> = pool.with(|_, pool| {
                 let views = pool
@@ -28,15 +28,15 @@
             });
             for engine in engines {
                 let after = last.get(&engine).copied().unwrap_or(0);
-                let newest = take_events(&context, service, &engine, after).await;
+                let newest = fetch_events(&context, service, &engine, after).await;
                 last.insert(engine, newest);
             }
         }
     }
 }
 
-/// Takes the events after a number and returns the newest number.
-async fn take_events(
+/// Applies the events after a number and returns the newest number.
+async fn fetch_events(
     context: &ControlContext,
     service: &ServiceId,
     engine: &TargetId,
--- a/packages/turnford-node/src/control/claims.rs
+++ b/packages/turnford-node/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: asks go to the node that commits their range; any node can stand in for it.
+//! Claims: requests go to the node that commits their range; any node can commit in its place.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -24,23 +24,23 @@
 use super::context::ControlContext;
 use crate::inbox::ClaimCall;
 
-/// Pause between steps of a range that has work.
-const STEP_PAUSE: Duration = Duration::from_millis(5);
+/// Interval between steps of a range that has pending work.
+const STEP_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time in which a peer's ask is of use to it.
-const PEER_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit of a peer's claim request.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Committers and those who wait for them.
+/// Committers by range and the waiters for their verdicts.
 #[derive(Default)]
-pub(super) struct ClaimDesk {
+pub(super) struct ClaimTable {
     ranges: HashMap<u16, ClaimCommitter>,
     waiting: HashMap<(u16, ClaimTicket), Sender<ClaimVerdict>>,
-    driven: Vec<u16>,
+    active: Vec<u16>,
 }
 
-/// Takes asks from traffic for as long as the node runs.
-pub(super) async fn take_claims(context: Rc<ControlContext>, asks: Receiver<ClaimCall>) {
-    while let Ok(call) = asks.recv().await {
+/// Handles claim requests of this node's request threads for as long as the node runs.
+pub(super) async fn serve_claims(context: Rc<ControlContext>, calls: Receiver<ClaimCall>) {
+    while let Ok(call) = calls.recv().await {
         context
             .executor
             .spawn(handle_call(context.clone(), call))
@@ -48,68 +48,69 @@
     }
 }
 
-/// Answers a peer's ask.
-pub(super) async fn answer_claim(context: &Rc<ControlContext>, ask: ClaimRequest) -> PeerReply {
-    PeerReply::Claim(ask_here(context, ask, PEER_LIMIT).await)
+/// Handles a peer's claim request.
+pub(super) async fn handle_claim(context: &Rc<ControlContext>, request: ClaimRequest) -> PeerReply {
+    PeerReply::Claim(commit_locally(context, request, PEER_TIMEOUT).await)
 }
 
 async fn handle_call(context: Rc<ControlContext>, call: ClaimCall) {
-    let verdict = ask_anywhere(&context, call.ask, call.limit).await;
+    let verdict = submit_claim(&context, call.request, call.timeout).await;
     if let Some(reply) = call.reply {
-        // A request that is gone needs no verdict; its guard releases the claim.
+        // A cancelled request needs no verdict; its guard releases the claim.
         let _ = reply.try_send(verdict);
     }
 }
 
-/// Asks the node that commits the range, or commits here if it does not answer.
-async fn ask_anywhere(
+/// Submits the request to the node that commits its range, or commits it here if that node doesn't
+/// reply.
+async fn submit_claim(
     context: &Rc<ControlContext>,
-    ask: ClaimRequest,
-    limit: Duration,
+    request: ClaimRequest,
+    timeout: Duration,
 ) -> ClaimVerdict {
-    let holder = context.duty_holder(&Duty::Claims(range_of(&ask)));
+    let holder = context.duty_holder(&Duty::Claims(range_of(&request)));
     let address = context
         .members
         .borrow()
         .get(&holder)
         .map(|record| record.update.address);
     let Some(address) = address else {
-        return ask_here(context, ask, limit).await;
+        return commit_locally(context, request, timeout).await;
     };
-    let begun = context.now();
-    let request = PeerRequest::Claim(ask);
+    let started = context.now();
+    let message = PeerRequest::Claim(request);
     let reply = context
         .peers
-        .call(address, &request, limit.min(PEER_LIMIT) / 2)
+        .call(address, &message, timeout.min(PEER_TIMEOUT) / 2)
         .await;
     if let Ok(PeerReply::Claim(verdict)) = reply {
         return verdict;
     }
-    let left = limit.saturating_sub(context.now().saturating_sub(begun));
-    ask_here(context, ask, left).await
+    let left = timeout.saturating_sub(context.now().saturating_sub(started));
+    commit_locally(context, request, left).await
 }
 
-/// Commits on this node.
-async fn ask_here(
+/// Commits a claim request on this node.
+async fn commit_locally(
     context: &Rc<ControlContext>,
-    ask: ClaimRequest,
-    limit: Duration,
+    request: ClaimRequest,
+    timeout: Duration,
 ) -> ClaimVerdict {
-    let range = range_of(&ask);
-    let expires = context.now() + limit;
+    let range = range_of(&request);
+    let expires = context.now() + timeout;
     let verdict = {
-        let mut desk = context.claims.borrow_mut();
-        let committer = desk.ranges.entry(range).or_default();
-        let Some(ticket) = committer.submit(ask, expires) else {
+        let mut table = context.claims.borrow_mut();
+        let committer = table.ranges.entry(range).or_default();
+        let Some(ticket) = committer.submit(request, expires) else {
             return ClaimVerdict::Unavailable;
         };
         let (sender, verdict) = async_channel::bounded(1);
-        desk.waiting.insert((range, ticket), sender);
-        if !desk.driven.contains(&range) {
-            desk.driven.push(range);
+        table.waiting.insert((range, ticket), sender);
+        if !table.active.contains(&range) {
+            table.active.push(range);
             context
                 .executor
-                .spawn(drive_range(context.clone(), range))
+                .spawn(run_range(context.clone(), range))
                 .detach();
         }
         verdict
@@ -117,8 +118,8 @@
     verdict.recv().await.unwrap_or(ClaimVerdict::Unavailable)
 }
 
-/// Steps a range until nothing waits there.
-async fn drive_range(context: Rc<ControlContext>, range: u16) {
+/// Steps a range's committer until it is idle.
+async fn run_range(context: Rc<ControlContext>, range: u16) {
     loop {
         let now = context.now();
         let step = with_range(&context, range, |committer| committer.step(now));
@@ -131,11 +132,11 @@
             context
                 .claims
                 .borrow_mut()
-                .driven
-                .retain(|driven| *driven != range);
+                .active
+                .retain(|active| *active != range);
             return;
         }
-        Timer::after(STEP_PAUSE).await;
+        Timer::after(STEP_INTERVAL).await;
     }
 }
 
@@ -156,7 +157,7 @@
             let write = match context.objects.put(&key, guard, bytes).await {
                 Ok(version) => RangeWrite::Accepted(version),
                 Err(PlatformError::Conflict { .. }) => RangeWrite::Conflict,
-                Err(fault) if fault.may_have_written() => RangeWrite::Lost,
+                Err(error) if error.may_have_written() => RangeWrite::Lost,
                 Err(_) => RangeWrite::Refused,
             };
             let now = context.now();
@@ -177,16 +178,16 @@
 }
 
 fn deliver(context: &ControlContext, range: u16, verdicts: Vec<(ClaimTicket, ClaimVerdict)>) {
-    let mut desk = context.claims.borrow_mut();
+    let mut table = context.claims.borrow_mut();
     for (ticket, verdict) in verdicts {
-        if let Some(waiter) = desk.waiting.remove(&(range, ticket)) {
-            // A waiter that is gone needs no verdict.
+        if let Some(waiter) = table.waiting.remove(&(range, ticket)) {
+            // A cancelled waiter needs no verdict.
             let _ = waiter.try_send(verdict);
         }
     }
 }
 
-fn range_of(ask: &ClaimRequest) -> u16 {
-    let [first, second, ..] = *ask.key();
+fn range_of(request: &ClaimRequest) -> u16 {
+    let [first, second, ..] = *request.key();
     u16::from_be_bytes([first, second]) % RANGE_COUNT
 }
--- a/packages/turnford-node/src/control/config.rs
+++ b/packages/turnford-node/src/control/config.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration: a few nodes of each hall watch the platform, the others are told.
+//! Follows the configuration: a few nodes per hall watch the platform and notify the others.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,81 +18,82 @@
 use turnford_wire::PeerRequest;
 
 use super::context::ControlContext;
-use super::note_ready;
+use super::update_ready;
 use crate::metrics::NodeEvent;
 use crate::snapshot::ConfigSnapshot;
 use crate::state::NodeState;
 
-/// Prefix of configuration objects.
+/// Key prefix of configuration objects.
 const CONFIG_PREFIX: &str = "config/";
 
-/// Nodes of a hall that watch.
+/// Number of nodes per hall that watch the platform.
 const WATCHER_COUNT: usize = 2;
 
-/// Wait of one watch; each counts as a call.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
+/// Duration of one watch call. Each call counts against the platform's call budget.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between looks whether this node became a watcher.
-const DUTY_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between checks for whether this node has become a watcher.
+const DUTY_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// First pause after a fault; it doubles up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Backoff after the first error; it doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest pause after faults.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+/// Longest backoff after errors.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Mean pause between reads by nodes that do not watch, in case all word got lost.
-const CHECK_PAUSE: Duration = Duration::from_secs(180);
+/// Mean interval between reads by nodes that don't watch, in case all notifications were lost.
+const CONFIG_POLL_INTERVAL: Duration = Duration::from_secs(180);
 
-/// Longest wait for a page of changes.
-const PULL_LIMIT: Duration = Duration::from_secs(1);
+/// Time limit of a pull of one page of changes.
+const PULL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes of changes on one page.
-const PAGE_BYTES: usize = 100_000;
+/// Maximum size of the changes on one page, in bytes.
+const MAX_PAGE_BYTES: usize = 100_000;
 
-/// Changes on one page.
-const PAGE_CHANGES: usize = 500;
+/// Maximum number of changes on one page.
+const MAX_PAGE_CHANGES: usize = 500;
 
-/// Lists, then watches while this node has the duty, and lists again when the watch lost its place.
-pub(super) async fn follow_config(context: Rc<ControlContext>) {
+/// Lists the configuration and then watches it while this node is a watcher. Lists again when the
+/// platform no longer has the history since the watch's position.
+pub(super) async fn watch_config(context: Rc<ControlContext>) {
     let mut listed = false;
-    let mut pause = FIRST_PAUSE;
+    let mut pause = MIN_BACKOFF;
     loop {
         let alone = context.fleet_count() == 1;
         if !alone && !is_watcher(&context) && context.view.borrow().complete_to() > 0 {
             listed = false;
-            Timer::after(DUTY_PAUSE).await;
+            Timer::after(DUTY_POLL_INTERVAL).await;
             continue;
         }
         let after = context.view.borrow().complete_to();
-        let answer = if listed {
+        let response = if listed {
             context
                 .objects
-                .watch(CONFIG_PREFIX, after, WATCH_WAIT)
+                .watch(CONFIG_PREFIX, after, WATCH_TIMEOUT)
                 .await
         } else {
             context.objects.list(CONFIG_PREFIX).await
         };
-        match answer {
+        match response {
             Ok(list) => {
                 apply_list(&context, &list);
                 listed = true;
-                pause = FIRST_PAUSE;
+                pause = MIN_BACKOFF;
             }
-            Err(fault) => {
-                log::warn!("configuration can't be read: {fault}");
-                listed = listed && fault != PlatformError::HistoryExpired;
+            Err(error) => {
+                log::warn!("configuration can't be read: {error}");
+                listed = listed && error != PlatformError::HistoryExpired;
                 Timer::after(context.jitter(pause)).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pause = (pause * 2).min(MAX_BACKOFF);
             }
         }
     }
 }
 
-/// Reads the configuration now and then, whatever others say.
-pub(super) async fn check_config(context: Rc<ControlContext>) {
+/// Reads the configuration periodically, independent of notifications.
+pub(super) async fn poll_config(context: Rc<ControlContext>) {
     loop {
-        Timer::after(context.jitter(CHECK_PAUSE)).await;
+        Timer::after(context.jitter(CONFIG_POLL_INTERVAL)).await;
         if is_watcher(&context) {
             continue;
         }
@@ -102,12 +103,12 @@
     }
 }
 
-/// Compares a peer's configuration with this node's, and pulls what is missing.
-pub(super) fn compare_mark(context: &Rc<ControlContext>, peer: SocketAddr, mark: ConfigDigest) {
+/// Compares a peer's configuration with this node's and pulls missing changes.
+pub(super) fn compare_digest(context: &Rc<ControlContext>, peer: SocketAddr, digest: ConfigDigest) {
     let own = context.view.borrow().digest();
-    // The checksum finds a gap between two nodes that have seen the same newest change.
-    let ahead = mark.complete_to > own.complete_to || mark.newest > own.newest;
-    let differs = mark.newest == own.newest && mark.checksum != own.checksum;
+    // The checksum reveals differences between two nodes with the same newest change.
+    let ahead = digest.complete_to > own.complete_to || digest.newest > own.newest;
+    let differs = digest.newest == own.newest && digest.checksum != own.checksum;
     if ahead || differs {
         context
             .executor
@@ -116,20 +117,20 @@
     }
 }
 
-/// Answers a pull with one page.
-pub(super) fn answer_pull(context: &ControlContext, after: u64) -> PeerReply {
+/// Handles a pull request by returning one page.
+pub(super) fn handle_config_pull(context: &ControlContext, after: u64) -> PeerReply {
     let view = context.view.borrow();
-    let mut changes = view.changes_after(after, PAGE_CHANGES);
+    let mut changes = view.changes_after(after, MAX_PAGE_CHANGES);
     let mut bytes = 0;
     let fitting = changes.iter().take_while(|change| {
         bytes += change.key.len() + change.text.as_ref().map_or(0, String::len);
-        bytes <= PAGE_BYTES
+        bytes <= MAX_PAGE_BYTES
     });
     let fitting = fitting.count().max(1);
-    let cut = fitting < changes.len() || changes.len() == PAGE_CHANGES;
+    let is_truncated = fitting < changes.len() || changes.len() == MAX_PAGE_CHANGES;
     changes.truncate(fitting);
     let last = changes.last().map_or(after, |change| change.version);
-    let complete_to = if cut {
+    let complete_to = if is_truncated {
         last.min(view.complete_to())
     } else {
         view.complete_to()
@@ -140,19 +141,19 @@
     }
 }
 
-/// Takes changes from peers.
+/// Applies changes from peers.
 pub(super) fn apply_changes(context: &ControlContext, changes: Vec<ConfigChange>) {
     let mut changed = false;
     for change in changes {
         changed |= context.view.borrow_mut().apply(change);
     }
     if changed {
-        put_in_force(&context.state, context);
+        activate_config(&context.state, context);
     }
-    note_ready(&context.state);
+    update_ready(&context.state);
 }
 
-/// Pulls pages until a short one.
+/// Pulls pages until one brings nothing new.
 async fn pull_changes(context: Rc<ControlContext>, peer: SocketAddr, from_start: bool) {
     let mut after = if from_start {
         0
@@ -161,7 +162,7 @@
     };
     loop {
         let request = PeerRequest::ConfigPull { after };
-        let reply = context.peers.call(peer, &request, PULL_LIMIT).await;
+        let reply = context.peers.call(peer, &request, PULL_TIMEOUT).await;
         let Ok(PeerReply::Config {
             changes,
             complete_to,
@@ -190,13 +191,13 @@
     ranked.contains(&own.name.as_str())
 }
 
-/// Takes what the platform said, and tells the others what is new.
+/// Applies a list from the platform and publishes new changes to the other nodes.
 fn apply_list(context: &Rc<ControlContext>, list: &ObjectList) {
-    let mut news = Vec::new();
+    let mut updates = Vec::new();
     for object in &list.objects {
         let value = object.value.as_deref().unwrap_or("");
         let Some(envelope) = ConfigEnvelope::decode(value) else {
-            log::error!("{} version {} is not readable", object.key, object.version);
+            log::error!("{} version {} can't be decoded", object.key, object.version);
             continue;
         };
         let change = ConfigChange {
@@ -205,32 +206,32 @@
             text: envelope.text,
         };
         if context.view.borrow_mut().apply(change.clone()) {
-            news.push(Rumor::Config(change));
+            updates.push(Rumor::Config(change));
         }
     }
     let first = context.view.borrow().complete_to() == 0;
     context.view.borrow_mut().advance_complete_to(list.revision);
-    if !news.is_empty() {
-        put_in_force(&context.state, context);
+    if !updates.is_empty() {
+        activate_config(&context.state, context);
     }
-    // What the first list holds is no news: those who miss it pull it.
+    // The first list isn't published: nodes that lack a part of it pull it.
     if !first {
-        super::rumors::tell_rumors(context, news);
+        super::rumors::publish_rumors(context, updates);
     }
-    note_ready(&context.state);
+    update_ready(&context.state);
 }
 
-/// Makes a view the configuration of new requests. Its version only rises.
-fn put_in_force(state: &NodeState, context: &ControlContext) {
+/// Activates the current view for new requests. The active version never decreases.
+fn activate_config(state: &NodeState, context: &ControlContext) {
     let before = state.config.load();
     let snapshot = ConfigSnapshot::build(&context.view.borrow(), &before);
     if snapshot.version < before.version {
-        state.metrics.note(NodeEvent::Invariant);
+        state.metrics.record_event(NodeEvent::Invariant);
         debug_assert!(false, "configuration would revert");
         return;
     }
-    log::info!("configuration version {} in force", snapshot.version);
-    state.metrics.note(NodeEvent::ConfigApplied);
+    log::info!("configuration version {} activated", snapshot.version);
+    state.metrics.record_event(NodeEvent::ConfigApplied);
     state.config.store(Arc::new(snapshot));
     super::shares::apply_limits(context);
 }
--- a/packages/turnford-node/src/control/context.rs
+++ b/packages/turnford-node/src/control/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the control thread share.
+//! State that the tasks of the control thread share.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -19,11 +19,11 @@
 use turnford_platform::WeightClient;
 use turnford_wire::PeerClient;
 
-use super::claims::ClaimDesk;
-use super::shares::ShareDesk;
+use super::claims::ClaimTable;
+use super::shares::ShareTable;
 use crate::state::NodeState;
 
-/// Shared state of one control thread. No borrow is held across a wait.
+/// Shared state of one control thread. No `RefCell` borrow is held across an await point.
 pub(super) struct ControlContext {
     pub(super) state: Arc<NodeState>,
     pub(super) executor: Rc<LocalExecutor<'static>>,
@@ -35,13 +35,14 @@
     pub(super) view: RefCell<ConfigView>,
     pub(super) rumors: RefCell<RumorTable>,
     pub(super) digests: RefCell<DigestTable>,
-    pub(super) claims: RefCell<ClaimDesk>,
-    pub(super) shares: RefCell<ShareDesk>,
-    /// Set once the other nodes are known from the platform, or were waited for long enough.
-    pub(super) settled: Cell<bool>,
-    /// Whether the digests of all live peers are fresh.
+    pub(super) claims: RefCell<ClaimTable>,
+    pub(super) shares: RefCell<ShareTable>,
+    /// Set once this node is registered and has had time to learn of the other nodes; required for
+    /// duties under a lease.
+    pub(super) duty_eligible: Cell<bool>,
+    /// Whether there is a fresh digest of every live peer.
     pub(super) digests_complete: Cell<bool>,
-    /// Earliest next pull of a whole member list.
+    /// Earliest time of the next pull of a full member list.
     pub(super) next_pull: Cell<Moment>,
 }
 
@@ -67,9 +68,9 @@
             view: RefCell::new(ConfigView::default()),
             rumors: RefCell::new(RumorTable::default()),
             digests: RefCell::new(DigestTable::default()),
-            claims: RefCell::new(ClaimDesk::default()),
-            shares: RefCell::new(ShareDesk::new(&settings.name, seed)),
-            settled: Cell::new(false),
+            claims: RefCell::new(ClaimTable::default()),
+            shares: RefCell::new(ShareTable::new(&settings.name, seed)),
+            duty_eligible: Cell::new(false),
             digests_complete: Cell::new(false),
             next_pull: Cell::new(Moment::ZERO),
             executor,
@@ -82,12 +83,12 @@
         self.state.clock.now()
     }
 
-    /// Returns the number of nodes thought alive, this one among them.
+    /// Returns the number of nodes considered alive, including this one.
     pub(super) fn fleet_count(&self) -> usize {
         self.members.borrow().live().count() + 1
     }
 
-    /// Returns the node that should do a duty.
+    /// Returns the name of the node assigned to a duty.
     pub(super) fn duty_holder(&self, duty: &turnford_fleet::Duty) -> String {
         let members = self.members.borrow();
         let ranked = turnford_fleet::rank_members(duty, members.live_names(), 1);
@@ -96,12 +97,13 @@
             .map_or_else(String::new, |name| (*name).to_owned())
     }
 
-    /// Tells whether this node should do a duty.
+    /// Returns whether this node is assigned to a duty.
     pub(super) fn has_duty(&self, duty: &turnford_fleet::Duty) -> bool {
         self.duty_holder(duty) == *self.state.settings.name
     }
 
-    /// Returns a span between a half and one and a half of `span`, so that nodes do not act at once.
+    /// Returns a random duration between 0.5 and 1.5 times `span`, so that nodes don't act in
+    /// unison.
     pub(super) fn jitter(&self, span: std::time::Duration) -> std::time::Duration {
         span.mul_f64(rand::rng().random_range(0.5..1.5))
     }
--- a/packages/turnford-node/src/control/digests.rs
+++ b/packages/turnford-node/src/control/digests.rs
@@ -1,4 +1,4 @@
-//! Tells the other nodes of this node's work, and hands their word to the pools.
+//! Sends this node's load digests to the other nodes and applies theirs to the pools.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,41 +14,41 @@
 
 use super::context::ControlContext;
 
-/// Pause between digests.
-const DIGEST_PAUSE: Duration = Duration::from_millis(400);
+/// Interval between digests.
+const DIGEST_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest wait for a peer to take a digest.
-const DIGEST_LIMIT: Duration = Duration::from_millis(300);
+/// Time limit for the delivery of a digest.
+const DIGEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Most peers that a digest goes to. A larger fleet relies on the targets' own reports.
-const DIGEST_PEERS: usize = 15;
+/// Maximum number of recipients of a digest. Larger fleets rely on the targets' own reports.
+const MAX_DIGEST_PEERS: usize = 15;
 
-/// Sends digests for as long as the node runs.
+/// Exchanges digests for as long as the node runs.
 pub(super) async fn exchange_digests(context: Rc<ControlContext>) {
-    let mut number = 0;
+    let mut sequence = 0;
     loop {
-        Timer::after(DIGEST_PAUSE).await;
-        number += 1;
-        let digest = make_digest(&context, number);
-        let peers = context.members.borrow_mut().sample(DIGEST_PEERS);
+        Timer::after(DIGEST_INTERVAL).await;
+        sequence += 1;
+        let digest = make_digest(&context, sequence);
+        let peers = context.members.borrow_mut().sample(MAX_DIGEST_PEERS);
         for peer in peers {
             let request = PeerRequest::Digest {
                 node: context.state.settings.name.to_string(),
                 digest: digest.clone(),
             };
-            let told = context.clone();
-            let tell = async move {
-                // The next digest replaces a lost one.
-                let call = told.peers.call(peer.address, &request, DIGEST_LIMIT);
+            let sender = context.clone();
+            let send = async move {
+                // Errors are ignored: the next digest replaces a lost one.
+                let call = sender.peers.call(peer.address, &request, DIGEST_TIMEOUT);
                 let _: Result<PeerReply, _> = call.await;
             };
-            context.executor.spawn(tell).detach();
+            context.executor.spawn(send).detach();
         }
-        hand_to_pools(&context);
+        apply_to_pools(&context);
     }
 }
 
-fn make_digest(context: &ControlContext, number: u64) -> LoadDigest {
+fn make_digest(context: &ControlContext, sequence: u64) -> LoadDigest {
     let pools = context.state.pools.load();
     let mut services = Vec::new();
     for (service, pool) in pools.iter() {
@@ -58,7 +58,7 @@
         }
     }
     LoadDigest {
-        sequence: number,
+        sequence,
         incarnation: context.state.attempts.incarnation(),
         services,
     }
@@ -79,12 +79,12 @@
     }
 }
 
-fn hand_to_pools(context: &ControlContext) {
+fn apply_to_pools(context: &ControlContext) {
     let now = context.now();
     let mut digests = context.digests.borrow_mut();
     digests.expire(now);
     let others = context.members.borrow().live().count();
-    // Only the word of all peers may stand in for what a target itself reports.
+    // Digests may replace a target's own report only if there is one of every peer.
     let complete = others > 0 && digests.len() >= others;
     context.digests_complete.set(complete);
     let node_share = 1.0 / (others as f64 + 1.0);
--- a/packages/turnford-node/src/control/leases.rs
+++ b/packages/turnford-node/src/control/leases.rs
@@ -1,4 +1,4 @@
-//! Makes the calls that leases ask for.
+//! Performs the platform calls that leases request.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -13,25 +13,26 @@
 
 use super::context::ControlContext;
 
-/// Has the tokens of a lease's next terms rise with the time of day: a platform that comes back from a copy
-/// may have lost the record that holds the highest one.
+/// Raises the floor of a lease's next tokens to the time of day, in milliseconds: a platform
+/// restored from a backup may have lost the record of the highest token.
 pub(super) fn raise_token(lease: &mut LeaseHolder) {
     match SystemTime::now().duration_since(UNIX_EPOCH) {
         Ok(since) => lease.raise_token_floor(u64::try_from(since.as_millis()).unwrap_or(0)),
-        Err(fault) => log::warn!("time of day before 1970, tokens don't rise with it: {fault}"),
+        Err(error) => log::warn!("system clock is before 1970, token floor not raised: {error}"),
     }
 }
 
-/// Performs one call for a lease; returns its end, and how long before that the platform last came back from
-/// a copy, where it tells.
+/// Performs one call for a lease. Returns its outcome and, if the platform reports it, the time
+/// since the platform was last restored from a backup.
 pub(super) async fn perform_lease(
     context: &ControlContext,
     key: &str,
     action: LeaseAction,
 ) -> (LeaseOutcome, Option<Duration>) {
-    let answer = call_platform(context, key, action).await;
-    // No other call ends between that answer and this line.
-    (answer, context.objects.restored_ago())
+    let outcome = call_platform(context, key, action).await;
+    // There is no await point between the response and this line, so no other call completes
+    // between.
+    (outcome, context.objects.restored_ago())
 }
 
 async fn call_platform(context: &ControlContext, key: &str, action: LeaseAction) -> LeaseOutcome {
--- a/packages/turnford-node/src/control/lenders.rs
+++ b/packages/turnford-node/src/control/lenders.rs
@@ -1,4 +1,4 @@
-//! Lends accounts' limits to the nodes, under a lease for each group of accounts.
+//! Lends shares of accounts' limits to the nodes, under one lease per account group.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -22,36 +22,37 @@
 use super::leases::perform_lease;
 use super::leases::raise_token;
 
-/// One group of accounts: this node's contact with the lender, and the lender if it is this node.
+/// One account group: this node's contact with its lender, and the lending state if that is this
+/// node.
 pub(super) struct LenderGroup {
     pub(super) lease: LeaseHolder,
     lending: Option<LendingTerm>,
-    /// When a lender's reply was last received, or when the node started.
+    /// Time of the last reply from a lender, or of the node's start.
     pub(super) contact: Moment,
     pub(super) stamp: LenderStamp,
 }
 
-/// Lenders of one group, under one term of its lease.
+/// Lenders of one group's accounts, under one term of the group's lease.
 struct LendingTerm {
     token: Version,
     is_first: bool,
-    began: Moment,
-    heard: NodeContacts,
+    started_at: Moment,
+    contacts: NodeContacts,
     lenders: HashMap<String, ShareLender>,
 }
 
 impl LenderGroup {
-    /// Starts without a lease. `mark` must not repeat over the node's restarts.
-    pub(super) fn new(name: &str, mark: u64) -> Self {
+    /// Creates a group without a lease. `first_write_id` must differ between restarts of the node.
+    pub(super) fn new(name: &str, first_write_id: u64) -> Self {
         Self {
-            lease: LeaseHolder::new(name.to_owned(), LeaseSettings::default(), mark),
+            lease: LeaseHolder::new(name.to_owned(), LeaseSettings::default(), first_write_id),
             lending: None,
             contact: Moment::ZERO,
             stamp: LenderStamp::default(),
         }
     }
 
-    /// Tells whether no grant of this group can be in use, if this node holds its lease.
+    /// Returns whether no grant of this group can be in use, if this node holds its lease.
     fn is_clear(&self, now: Moment) -> bool {
         let Some((token, is_first)) = self.lease.term() else {
             return true;
@@ -63,13 +64,13 @@
 
 impl LendingTerm {
     fn is_clear(&self, now: Moment) -> bool {
-        let is_over = self.is_first || self.heard.has_outlived_grants(now);
-        is_over && self.lenders.values().all(|lender| lender.is_clear(now))
+        let old_grants_expired = self.is_first || self.contacts.has_outlived_grants(now);
+        old_grants_expired && self.lenders.values().all(|lender| lender.is_clear(now))
     }
 }
 
-/// Lends a node its shares, if this node holds the lease for the group.
-pub(super) fn answer_share(
+/// Grants shares to a node if this node holds the group's lease.
+pub(super) fn handle_share(
     context: &ControlContext,
     node: &str,
     group: u16,
@@ -79,12 +80,12 @@
     let now = context.now();
     let config = context.state.config.load();
     let fleet_size = context.state.settings.fleet_size;
-    let mut desk = context.shares.borrow_mut();
-    let found = desk.groups.get_mut(usize::from(group));
+    let mut table = context.shares.borrow_mut();
+    let found = table.groups.get_mut(usize::from(group));
     let Some(term) = found.and_then(|group| current_term(now, group, fleet_size)) else {
         return PeerReply::Refused;
     };
-    let stamp = term.heard.record_contact(now, node, stamp);
+    let stamp = term.contacts.record_contact(now, node, stamp);
     let mut grants = Vec::new();
     for demand in demands
         .iter()
@@ -98,19 +99,19 @@
             continue;
         };
         let limit = limit_of(account);
-        let (began, token, is_first) = (term.began, term.token, term.is_first);
-        let fresh = || ShareLender::new(began, token, limit, is_first);
+        let (started_at, token, is_first) = (term.started_at, term.token, term.is_first);
+        let fresh = || ShareLender::new(started_at, token, limit, is_first);
         let lender = term
             .lenders
             .entry(demand.account.clone())
             .or_insert_with(fresh);
         lender.set_limit(limit);
-        grants.extend(lender.lend(now, node, demand, &term.heard));
+        grants.extend(lender.lend(now, node, demand, &term.contacts));
     }
     PeerReply::Shares { stamp, grants }
 }
 
-/// Returns the lenders of a group, if this node's lease for it holds now.
+/// Returns the lending term of a group if this node currently holds its lease.
 fn current_term(now: Moment, group: &mut LenderGroup, fleet_size: u32) -> Option<&mut LendingTerm> {
     group.lease.token(now)?;
     let (token, is_first) = group.lease.term()?;
@@ -122,15 +123,15 @@
         group.lending = Some(LendingTerm {
             token,
             is_first,
-            began: now,
-            heard: NodeContacts::new(now, token, fleet_size),
+            started_at: now,
+            contacts: NodeContacts::new(now, token, fleet_size),
             lenders: HashMap::new(),
         });
     }
     group.lending.as_mut()
 }
 
-/// Returns an account's limits as the lenders have them.
+/// Returns an account's limits as a share size.
 pub(super) fn limit_of(account: &ClientAccount) -> ShareSize {
     ShareSize {
         rate: account.rate,
@@ -138,17 +139,17 @@
     }
 }
 
-/// Makes the call that a group's lease asks for.
+/// Steps a group's lease and starts the call that it requests.
 pub(super) fn step_lease(context: &Rc<ControlContext>, group: u16) {
     let now = context.now();
     let alone = context.state.settings.fleet_size <= 1;
-    let wanted = !alone && context.settled.get() && context.has_duty(&Duty::Lend(group));
+    let wanted = !alone && context.duty_eligible.get() && context.has_duty(&Duty::Lend(group));
     let action = {
-        let mut desk = context.shares.borrow_mut();
-        let group = &mut desk.groups[usize::from(group)];
-        let clean = group.is_clear(now);
+        let mut table = context.shares.borrow_mut();
+        let group = &mut table.groups[usize::from(group)];
+        let is_clear = group.is_clear(now);
         raise_token(&mut group.lease);
-        group.lease.step(now, wanted, clean)
+        group.lease.step(now, wanted, is_clear)
     };
     if let Some(action) = action {
         context
@@ -159,10 +160,10 @@
 }
 
 async fn call_lease(context: Rc<ControlContext>, group: u16, action: LeaseAction) {
-    let (answer, restored_ago) =
+    let (outcome, restored_ago) =
         perform_lease(&context, &format!("lease/lend-{group}"), action).await;
     let now = context.now();
     let lease = &mut context.shares.borrow_mut().groups[usize::from(group)].lease;
     lease.set_restored_ago(restored_ago);
-    lease.handle_outcome(now, answer);
+    lease.handle_outcome(now, outcome);
 }
--- a/packages/turnford-node/src/control/members.rs
+++ b/packages/turnford-node/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Finds the other nodes and watches them.
+//! Membership: discovers the other nodes and probes them.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -20,51 +20,52 @@
 
 use super::context::ControlContext;
 
-/// Prefix of the nodes' own records at the platform.
+/// Key prefix of the nodes' records at the platform.
 const NODE_PREFIX: &str = "nodes/";
 
-/// Pause between looks whether a probe is due.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between checks for due probes.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for a probe's answer.
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+/// Time limit of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for an indirect probe's answer.
-const INDIRECT_LIMIT: Duration = Duration::from_millis(1200);
+/// Time limit of an indirect probe.
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Pause between tries to register while the platform is away.
-const REGISTER_PAUSE: Duration = Duration::from_secs(2);
+/// Mean interval between attempts to register while the platform is unavailable.
+const REGISTER_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after its own registration in which a node lets others register.
-const SETTLE_PAUSE: Duration = Duration::from_millis(500);
+/// Wait after a node's own registration, for other nodes that start at the same time to register.
+const REGISTRATION_WAIT: Duration = Duration::from_millis(500);
 
-/// Shortest time between two pulls of the whole member list.
-const PULL_PAUSE: Duration = Duration::from_secs(3);
+/// Minimum interval between pulls of the full member list.
+const MEMBER_PULL_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Pause between sweeps of records of nodes that are gone.
-const SWEEP_PAUSE: Duration = Duration::from_secs(60);
+/// Mean interval between sweeps of dead nodes' records. A node must also be dead for at least this
+/// long before its record is removed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Members on one page.
+/// Maximum number of members on one page.
 pub(super) const PAGE_SIZE: usize = 200;
 
-/// A node's record at the platform.
+/// A node's record, as stored at the platform.
 #[derive(Serialize, Deserialize)]
 struct NodeRecord {
     address: std::net::SocketAddr,
     hall: String,
 }
 
-/// Registers this node, finds the others, and probes them for as long as the node runs.
-pub(super) async fn follow_members(context: Rc<ControlContext>) {
+/// Registers this node, discovers the others and probes them for as long as the node runs.
+pub(super) async fn run_membership(context: Rc<ControlContext>) {
     context.executor.spawn(register(context.clone())).detach();
     context
         .executor
         .spawn(sweep_records(context.clone()))
         .detach();
-    ask_known_peers(&context).await;
+    ping_known_peers(&context).await;
     let mut left = false;
     loop {
-        Timer::after(TICK).await;
+        Timer::after(TICK_INTERVAL).await;
         let now = context.now();
         let plan = {
             let mut members = context.members.borrow_mut();
@@ -91,7 +92,7 @@
     }
 }
 
-/// Returns this node's ping to a member.
+/// Builds a ping to a member.
 fn ping(context: &ControlContext, to: &str) -> PeerRequest {
     let mut members = context.members.borrow_mut();
     PeerRequest::Ping {
@@ -101,16 +102,16 @@
     }
 }
 
-/// Answers a ping.
-pub(super) fn answer_ping(
+/// Handles a ping.
+pub(super) fn handle_ping(
     context: &Rc<ControlContext>,
     gossip: Vec<MemberUpdate>,
-    mark: ConfigDigest,
+    digest: ConfigDigest,
 ) -> PeerReply {
     let from = gossip.first().cloned();
     apply_gossip(context, gossip);
     if let Some(from) = &from {
-        super::config::compare_mark(context, from.address, mark);
+        super::config::compare_digest(context, from.address, digest);
     }
     let to = from.as_ref().map_or("", |from| from.name.as_str());
     let mut members = context.members.borrow_mut();
@@ -121,16 +122,16 @@
     }
 }
 
-/// Asks another node for a third one.
-pub(super) async fn answer_ping_via(
+/// Handles an indirect probe by pinging its target.
+pub(super) async fn handle_ping_via(
     context: &Rc<ControlContext>,
     target: MemberUpdate,
 ) -> PeerReply {
     PeerReply::Reached(ping_once(context, &target.name, target.address).await)
 }
 
-/// Returns a page of members after a name.
-pub(super) fn answer_member_pull(context: &ControlContext, after: &str) -> PeerReply {
+/// Handles a pull of the page of members after a name.
+pub(super) fn handle_member_pull(context: &ControlContext, after: &str) -> PeerReply {
     let members = context.members.borrow();
     let own = members.own().clone();
     let others = members.live().map(|record| record.update.clone());
@@ -168,8 +169,8 @@
     };
     let mut tasks = Vec::new();
     for helper in helpers {
-        let ask = ask_helper(context.clone(), helper, target.clone());
-        tasks.push(context.executor.spawn(ask));
+        let task = probe_via_helper(context.clone(), helper, target.clone());
+        tasks.push(context.executor.spawn(task));
     }
     let mut reached = false;
     for task in tasks {
@@ -184,33 +185,37 @@
     }
 }
 
-async fn ask_helper(context: Rc<ControlContext>, helper: ProbePlan, target: MemberUpdate) -> bool {
+async fn probe_via_helper(
+    context: Rc<ControlContext>,
+    helper: ProbePlan,
+    target: MemberUpdate,
+) -> bool {
     let request = PeerRequest::PingVia { target };
     let reply = context
         .peers
-        .call(helper.address, &request, INDIRECT_LIMIT)
+        .call(helper.address, &request, INDIRECT_PROBE_TIMEOUT)
         .await;
     matches!(reply, Ok(PeerReply::Reached(true)))
 }
 
-/// Pings an address; true if it answered.
+/// Pings an address and returns whether it replied.
 async fn ping_once(
     context: &Rc<ControlContext>,
     name: &str,
     address: std::net::SocketAddr,
 ) -> bool {
     let request = ping(context, name);
-    let reply = context.peers.call(address, &request, PROBE_LIMIT).await;
+    let reply = context.peers.call(address, &request, PROBE_TIMEOUT).await;
     let Ok(PeerReply::Pong {
         gossip,
-        digest: mark,
+        digest,
         members,
     }) = reply
     else {
         return false;
     };
     apply_gossip(context, gossip);
-    super::config::compare_mark(context, address, mark);
+    super::config::compare_digest(context, address, digest);
     let own = context.members.borrow().checksum();
     if own != members {
         pull_members(context, address).await;
@@ -218,17 +223,17 @@
     true
 }
 
-/// Reads the whole member list of a peer whose list differs, a page at a time.
+/// Pulls the full member list of a peer whose checksum differs, page by page.
 async fn pull_members(context: &Rc<ControlContext>, address: std::net::SocketAddr) {
     let now = context.now();
     if now < context.next_pull.get() {
         return;
     }
-    context.next_pull.set(now + PULL_PAUSE);
+    context.next_pull.set(now + MEMBER_PULL_INTERVAL);
     let mut after = String::new();
     loop {
         let request = PeerRequest::MemberPull { after };
-        let reply = context.peers.call(address, &request, PROBE_LIMIT).await;
+        let reply = context.peers.call(address, &request, PROBE_TIMEOUT).await;
         let Ok(PeerReply::Members(updates)) = reply else {
             return;
         };
@@ -243,28 +248,28 @@
     }
 }
 
-/// Asks the peers of the settings, for starts while the platform is away.
-async fn ask_known_peers(context: &Rc<ControlContext>) {
+/// Pings the peers from the settings, so that a node can start while the platform is unavailable.
+async fn ping_known_peers(context: &Rc<ControlContext>) {
     for address in context.state.settings.peers.clone() {
         ping_once(context, "", address).await;
     }
 }
 
-/// Writes this node's record and reads those of the others, until both worked once.
+/// Writes this node's record and reads those of the others, retrying until both succeed.
 async fn register(context: Rc<ControlContext>) {
     loop {
         match try_register(&context).await {
             Ok(()) => break,
-            Err(fault) => log::warn!("this node's record can't be written yet: {fault}"),
+            Err(error) => log::warn!("registration of this node failed, retrying: {error}"),
         }
-        Timer::after(context.jitter(REGISTER_PAUSE)).await;
+        Timer::after(context.jitter(REGISTER_RETRY_INTERVAL)).await;
     }
-    // Nodes that start together register in this time, too.
-    Timer::after(SETTLE_PAUSE).await;
+    // Nodes that start at the same time register in the meantime.
+    Timer::after(REGISTRATION_WAIT).await;
     if let Ok(list) = context.objects.list(NODE_PREFIX).await {
-        note_records(&context, &list);
+        apply_records(&context, &list);
     }
-    context.settled.set(true);
+    context.duty_eligible.set(true);
 }
 
 async fn try_register(context: &Rc<ControlContext>) -> Result<(), PlatformError> {
@@ -284,12 +289,12 @@
         .objects
         .put(&key, VersionGuard::from_version(version), bytes)
         .await?;
-    note_records(context, &list);
+    apply_records(context, &list);
     Ok(())
 }
 
-/// Takes the other nodes' records as members to be probed.
-fn note_records(context: &ControlContext, list: &ObjectList) {
+/// Adds the nodes of the listed records as members to be probed.
+fn apply_records(context: &ControlContext, list: &ObjectList) {
     let own = format!("{NODE_PREFIX}{}", context.state.settings.name);
     let now = context.now();
     for object in list.objects.iter().filter(|object| object.key != own) {
@@ -309,27 +314,28 @@
     }
 }
 
-/// Tells the others that this node stops, and removes its record.
+/// Announces to the others that this node is leaving and removes its record.
 async fn leave(context: Rc<ControlContext>) {
     context.members.borrow_mut().leave();
     let peers = context.members.borrow_mut().sample(PAGE_SIZE);
     for peer in peers {
         let request = ping(&context, &peer.name);
-        let told = context.clone();
-        let tell = async move {
-            // A peer that does not hear it finds out by its own probe.
-            let call = told.peers.call(peer.address, &request, PROBE_LIMIT);
+        let sender = context.clone();
+        let send = async move {
+            // Errors are ignored: a peer that misses this message detects the end by its own
+            // probes.
+            let call = sender.peers.call(peer.address, &request, PROBE_TIMEOUT);
             let _: Result<PeerReply, _> = call.await;
         };
-        context.executor.spawn(tell).detach();
+        context.executor.spawn(send).detach();
     }
     remove_record(&context, &context.state.settings.name).await;
 }
 
-/// Removes records of nodes that are long dead, so that new nodes do not ask for them.
+/// Removes records of nodes that have been dead for a while, so that new nodes don't probe them.
 async fn sweep_records(context: Rc<ControlContext>) {
     loop {
-        Timer::after(context.jitter(SWEEP_PAUSE)).await;
+        Timer::after(context.jitter(SWEEP_INTERVAL)).await;
         if !context.has_duty(&Duty::Sweep) {
             continue;
         }
@@ -338,7 +344,7 @@
             let members = context.members.borrow();
             let gone = members.all().filter(|record| {
                 let dead = record.update.state >= MemberState::Dead;
-                dead && now.saturating_sub(record.since) > SWEEP_PAUSE
+                dead && now.saturating_sub(record.since) > SWEEP_INTERVAL
             });
             gone.map(|record| record.update.name.clone()).collect()
         };
@@ -350,10 +356,10 @@
 
 async fn remove_record(context: &ControlContext, name: &str) {
     let key = format!("{NODE_PREFIX}{name}");
-    let Ok(found) = context.objects.get(&key).await else {
+    let Ok(record) = context.objects.get(&key).await else {
         return;
     };
-    if let Err(fault) = context.objects.delete(&key, found.version).await {
-        log::warn!("the record of node {name} can't be removed: {fault}");
+    if let Err(error) = context.objects.delete(&key, record.version).await {
+        log::warn!("can't remove the record of node {name}: {error}");
     }
 }
--- a/packages/turnford-node/src/control/orders.rs
+++ b/packages/turnford-node/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Gives orders to targets: models where demand asks for them.
+//! Sends orders to targets to load and unload models according to demand.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,31 +25,31 @@
 use super::leases::perform_lease;
 use super::leases::raise_token;
 
-/// Pause between rounds.
-const ROUND_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest time that an order may be in flight. The lease allows for it.
-const ORDER_LIMIT: Duration = Duration::from_millis(800);
+/// Maximum time that an order may be in flight. The lease settings allow for it.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Largest part of a pool with open orders at a time.
-const OPEN_PART: f64 = 0.25;
+/// Maximum fraction of a pool's targets that have open orders at a time.
+const MAX_OPEN_RATIO: f64 = 0.25;
 
-/// Models that a target is taken to have room for.
-const MODEL_ROOM: usize = 2;
+/// Number of models that a target is assumed to hold.
+const MODEL_CAPACITY: usize = 2;
 
-/// Giver of one service's orders on this node.
-struct OrderGiver {
+/// Issues one service's orders on this node.
+struct OrderIssuer {
     lease: LeaseHolder,
-    book: OrderQueue,
-    told_halt: bool,
+    queue: OrderQueue,
+    halt_logged: bool,
 }
 
-/// Gives orders for as long as the node runs, for services whose targets have models.
-pub(super) async fn give_orders(context: Rc<ControlContext>) {
-    let mut givers: HashMap<ServiceId, Rc<RefCell<OrderGiver>>> = HashMap::new();
+/// Issues orders for services whose targets have models, for as long as the node runs.
+pub(super) async fn run_orders(context: Rc<ControlContext>) {
+    let mut issuers: HashMap<ServiceId, Rc<RefCell<OrderIssuer>>> = HashMap::new();
     loop {
-        Timer::after(ROUND_PAUSE).await;
-        if !context.settled.get() {
+        Timer::after(ROUND_INTERVAL).await;
+        if !context.duty_eligible.get() {
             continue;
         }
         let pools = context.state.pools.load_full();
@@ -58,44 +58,44 @@
             if targets.iter().all(|target| target.models.is_empty()) {
                 continue;
             }
-            let giver = givers
+            let issuer = issuers
                 .entry(service.clone())
-                .or_insert_with(|| new_giver(&context));
-            turn_giver(&context, service, giver, &targets);
+                .or_insert_with(|| new_issuer(&context));
+            step_issuer(&context, service, issuer, &targets);
         }
     }
 }
 
-fn new_giver(context: &ControlContext) -> Rc<RefCell<OrderGiver>> {
+fn new_issuer(context: &ControlContext) -> Rc<RefCell<OrderIssuer>> {
     let name = context.state.settings.name.to_string();
-    let mark = context.state.attempts.incarnation();
-    Rc::new(RefCell::new(OrderGiver {
-        lease: LeaseHolder::new(name, LeaseSettings::default(), mark),
-        book: OrderQueue::new(),
-        told_halt: false,
+    let first_write_id = context.state.attempts.incarnation();
+    Rc::new(RefCell::new(OrderIssuer {
+        lease: LeaseHolder::new(name, LeaseSettings::default(), first_write_id),
+        queue: OrderQueue::new(),
+        halt_logged: false,
     }))
 }
 
-/// Moves a giver on: its lease, and one act if the lease holds.
-fn turn_giver(
+/// Steps an issuer: its lease, and one action of its queue.
+fn step_issuer(
     context: &Rc<ControlContext>,
     service: &ServiceId,
-    giver: &Rc<RefCell<OrderGiver>>,
+    issuer: &Rc<RefCell<OrderIssuer>>,
     targets: &[ModelTarget],
 ) {
     let now = context.now();
     let wanted = context.has_duty(&Duty::Orders(service.to_string()));
-    let mut state = giver.borrow_mut();
+    let mut state = issuer.borrow_mut();
     raise_token(&mut state.lease);
     if let Some(action) = state.lease.step(now, wanted, true) {
-        let (context, service, giver) = (context.clone(), service.clone(), giver.clone());
+        let (context, service, issuer) = (context.clone(), service.clone(), issuer.clone());
         let executor = context.executor.clone();
         let call = async move {
             let key = format!("lease/orders-{service}");
-            let (answer, restored_ago) = perform_lease(&context, &key, action).await;
-            let lease = &mut giver.borrow_mut().lease;
+            let (outcome, restored_ago) = perform_lease(&context, &key, action).await;
+            let lease = &mut issuer.borrow_mut().lease;
             lease.set_restored_ago(restored_ago);
-            lease.handle_outcome(context.now(), answer);
+            lease.handle_outcome(context.now(), outcome);
         };
         executor.spawn(call).detach();
     }
@@ -104,26 +104,26 @@
         Some(_) => wanted_orders(context, service, targets),
         None => Vec::new(),
     };
-    let limit = ((targets.len() as f64 * OPEN_PART) as usize).max(1);
-    let action = state.book.step(now, token, &orders, limit);
-    note_halt(&mut state, service);
+    let limit = ((targets.len() as f64 * MAX_OPEN_RATIO) as usize).max(1);
+    let action = state.queue.step(now, token, &orders, limit);
+    log_halt(&mut state, service);
     if let Some(action) = action {
-        let act = perform(context.clone(), service.clone(), giver.clone(), action);
+        let act = perform(context.clone(), service.clone(), issuer.clone(), action);
         context.executor.spawn(act).detach();
     }
 }
 
-/// Tells the operators once that a giver stopped.
-fn note_halt(state: &mut OrderGiver, service: &str) {
-    let halted = state.book.is_halted();
-    if halted && !state.told_halt {
-        log::error!("orders for {service} stopped: too many failed; look at its targets");
+/// Logs once when an issuer has halted.
+fn log_halt(state: &mut OrderIssuer, service: &str) {
+    let halted = state.queue.is_halted();
+    if halted && !state.halt_logged {
+        log::error!("orders for {service} halted after too many failures; check its targets");
     }
-    state.told_halt = halted;
+    state.halt_logged = halted;
 }
 
-/// Plans from this node's own demand. The balancer spreads requests evenly, so the fleet's demand is
-/// about that times the nodes.
+/// Plans orders from this node's own demand. The load balancer spreads requests evenly, so the
+/// fleet's demand is estimated as this node's demand times the number of nodes.
 fn wanted_orders(
     context: &ControlContext,
     service: &ServiceId,
@@ -158,7 +158,7 @@
                 .iter()
                 .map(|model| model.to_string())
                 .collect(),
-            model_capacity: MODEL_ROOM,
+            model_capacity: MODEL_CAPACITY,
         });
         targets.collect()
     })
@@ -167,11 +167,11 @@
 async fn perform(
     context: Rc<ControlContext>,
     service: ServiceId,
-    giver: Rc<RefCell<OrderGiver>>,
+    issuer: Rc<RefCell<OrderIssuer>>,
     action: OrderAction,
 ) {
     let key = format!("orders/{service}");
-    let answer = match action {
+    let outcome = match action {
         OrderAction::Read => read_record(&context, &key).await,
         OrderAction::Write { expected, record } => {
             let guard = VersionGuard::from_version(expected);
@@ -182,10 +182,10 @@
                 Err(_) => OrderOutcome::Reread,
             }
         }
-        OrderAction::Send { order, token } => give(&context, &giver, &order, token).await,
+        OrderAction::Send { order, token } => send_order(&context, &issuer, &order, token).await,
     };
     let now = context.now();
-    giver.borrow_mut().book.handle_outcome(now, answer);
+    issuer.borrow_mut().queue.handle_outcome(now, outcome);
 }
 
 async fn read_record(context: &ControlContext, key: &str) -> OrderOutcome {
@@ -199,10 +199,10 @@
     }
 }
 
-/// Gives one order, when the weight store lets its load begin and the lease still holds.
-async fn give(
+/// Sends one order, provided that the weight store admits the load and the lease is still held.
+async fn send_order(
     context: &ControlContext,
-    giver: &RefCell<OrderGiver>,
+    issuer: &RefCell<OrderIssuer>,
     order: &TargetOrder,
     token: u64,
 ) -> OrderOutcome {
@@ -226,24 +226,28 @@
             Err(_) => return OrderOutcome::Deferred(Duration::from_secs(1)),
         }
     }
-    // Looked at right before the call: a node that slept here does nothing with an old lease.
-    let held = giver.borrow().lease.token(context.now());
+    // Checked immediately before the call, so that a suspended node doesn't act under an expired
+    // lease.
+    let held = issuer.borrow().lease.token(context.now());
     let Some(held) = held.filter(|held| *held >= token) else {
-        return OrderOutcome::Deferred(ROUND_PAUSE);
+        return OrderOutcome::Deferred(ROUND_INTERVAL);
     };
     let model = &order.model;
     match context
         .state
         .targets
-        .order(address, held, kind, model, ORDER_LIMIT)
+        .order(address, held, kind, model, ORDER_TIMEOUT)
         .await
     {
         Ok(()) => {
-            log::info!("target {} was told to {kind} {model}", order.target);
+            log::info!("target {} ordered to {kind} {model}", order.target);
             OrderOutcome::Done
         }
-        Err(fault) => {
-            log::warn!("target {} did not {kind} {model}: {fault}", order.target);
+        Err(error) => {
+            log::warn!(
+                "order to {kind} {model} failed at target {}: {error}",
+                order.target
+            );
             OrderOutcome::NotDone
         }
     }
--- a/packages/turnford-node/src/control/peers.rs
+++ b/packages/turnford-node/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other nodes.
+//! Serves the requests of other nodes.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 
 use super::context::ControlContext;
 
-/// Serves the inner protocol for as long as the node runs.
+/// Serves the internal protocol for as long as the node runs.
 pub(super) async fn serve_peers(context: Rc<ControlContext>, listener: TcpListener) {
     let executor = context.executor.clone();
     let handler = move |request| answer(context.clone(), request);
@@ -20,16 +20,14 @@
 
 async fn answer(context: Rc<ControlContext>, request: PeerRequest) -> PeerReply {
     match request {
-        PeerRequest::Ping {
-            gossip,
-            digest: mark,
-            ..
-        } => super::members::answer_ping(&context, gossip, mark),
-        PeerRequest::PingVia { target } => super::members::answer_ping_via(&context, target).await,
-        PeerRequest::MemberPull { after } => super::members::answer_member_pull(&context, &after),
-        PeerRequest::ConfigPull { after } => super::config::answer_pull(&context, after),
+        PeerRequest::Ping { gossip, digest, .. } => {
+            super::members::handle_ping(&context, gossip, digest)
+        }
+        PeerRequest::PingVia { target } => super::members::handle_ping_via(&context, target).await,
+        PeerRequest::MemberPull { after } => super::members::handle_member_pull(&context, &after),
+        PeerRequest::ConfigPull { after } => super::config::handle_config_pull(&context, after),
         PeerRequest::Rumors(rumors) => {
-            super::rumors::take_rumors(&context, rumors);
+            super::rumors::receive_rumors(&context, rumors);
             PeerReply::Ack
         }
         PeerRequest::Digest { node, digest } => {
@@ -37,12 +35,12 @@
             context.digests.borrow_mut().apply(now, &node, digest);
             PeerReply::Ack
         }
-        PeerRequest::Claim(ask) => super::claims::answer_claim(&context, ask).await,
+        PeerRequest::Claim(claim) => super::claims::handle_claim(&context, claim).await,
         PeerRequest::Share {
             node,
             group,
             stamp,
             demands,
-        } => super::lenders::answer_share(&context, &node, group, stamp, &demands),
+        } => super::lenders::handle_share(&context, &node, group, stamp, &demands),
     }
 }
--- a/packages/turnford-node/src/control/rumors.rs
+++ b/packages/turnford-node/src/control/rumors.rs
@@ -1,4 +1,4 @@
-//! Passes urgent news on.
+//! Spreads urgent updates through the fleet as rumors.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 
 use super::context::ControlContext;
 
-/// Longest wait for a peer to take news.
-const RUMOR_LIMIT: Duration = Duration::from_millis(500);
+/// Time limit for the delivery of a rumor.
+const RUMOR_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Tells news that this node found itself.
-pub(super) fn tell_rumors(context: &Rc<ControlContext>, rumors: Vec<Rumor>) {
+/// Publishes rumors that originate at this node.
+pub(super) fn publish_rumors(context: &Rc<ControlContext>, rumors: Vec<Rumor>) {
     let new = context.rumors.borrow_mut().take_new(rumors);
-    pass_on(context, &new);
+    forward_rumors(context, &new);
 }
 
-/// Takes news from a peer: acts on what is new and passes it on.
-pub(super) fn take_rumors(context: &Rc<ControlContext>, rumors: Vec<Rumor>) {
+/// Handles rumors from a peer: applies and forwards those that are new.
+pub(super) fn receive_rumors(context: &Rc<ControlContext>, rumors: Vec<Rumor>) {
     let new = context.rumors.borrow_mut().take_new(rumors);
-    pass_on(context, &new);
+    forward_rumors(context, &new);
     let mut changes = Vec::new();
     for rumor in new {
         match rumor {
@@ -31,10 +31,10 @@
                 service, target, ..
             } => {
                 let pool = context.state.pool(&service);
-                let left =
+                let is_newly_leaving =
                     pool.is_some_and(|pool| pool.with(|now, pool| pool.mark_leaving(now, &target)));
-                if left {
-                    log::info!("target {target} leaves, by a peer's word");
+                if is_newly_leaving {
+                    log::info!("target {target} is leaving, according to a peer");
                 }
             }
         }
@@ -42,22 +42,23 @@
     super::config::apply_changes(context, changes);
 }
 
-fn pass_on(context: &Rc<ControlContext>, rumors: &[Rumor]) {
+fn forward_rumors(context: &Rc<ControlContext>, rumors: &[Rumor]) {
     if rumors.is_empty() {
         return;
     }
     let peers = context.members.borrow_mut().sample(RUMOR_FANOUT);
     for peer in peers {
-        // One call each keeps every frame within its bound.
+        // One call per rumor keeps every frame within the size limit.
         for rumor in rumors {
             let request = PeerRequest::Rumors(vec![rumor.clone()]);
-            let told = context.clone();
-            let tell = async move {
-                // What gets lost is found by the next probe's mark or by the VM list.
-                let call = told.peers.call(peer.address, &request, RUMOR_LIMIT);
+            let sender = context.clone();
+            let send = async move {
+                // Errors are ignored: lost updates are recovered by the digest of the next probe or
+                // by the VM list.
+                let call = sender.peers.call(peer.address, &request, RUMOR_TIMEOUT);
                 let _: Result<PeerReply, _> = call.await;
             };
-            context.executor.spawn(tell).detach();
+            context.executor.spawn(send).detach();
         }
     }
 }
--- a/packages/turnford-node/src/control/shares.rs
+++ b/packages/turnford-node/src/control/shares.rs
@@ -1,4 +1,4 @@
-//! Asks for this node's shares of accounts' limits, and applies them.
+//! Requests this node's shares of accounts' limits and applies them.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -19,57 +19,58 @@
 use turnford_wire::PeerRequest;
 
 use super::context::ControlContext;
-use super::lenders::answer_share;
+use super::lenders::handle_share;
 use super::lenders::limit_of;
 use super::lenders::step_lease;
 use super::lenders::LenderGroup;
 use crate::inbox::ShareCall;
 
-/// Pause between rounds.
-const ROUND_PAUSE: Duration = Duration::from_millis(300);
+/// Interval between rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Longest wait for a lender.
-const ASK_LIMIT: Duration = Duration::from_millis(250);
+/// Time limit of a request to a lender.
+const LENDER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Weight of the newest round in a node's demand.
+/// Weight of the newest round in the moving average of an account's demand.
 const DEMAND_WEIGHT: f64 = 0.5;
 
-/// Demand below which a share is not asked for, in requests a second.
-const LEAST_DEMAND: f64 = 0.05;
+/// Demand below which no share is requested, in requests per second.
+const MIN_DEMAND: f64 = 0.05;
 
-/// Demand that a request counts as whose account has no share here yet, in requests a second.
+/// Lower bound of the demand stated when a share is fetched for a waiting request, in requests per
+/// second.
 const FETCH_DEMAND: f64 = 2.0;
 
-/// Shortest time between two fetches for one account.
-const FETCH_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum interval between fetches for one account.
+const FETCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest time that a starting node waits for the lenders; after it, the node has its even part.
-const LENDER_WAIT: Duration = Duration::from_secs(20);
+/// Time after which a starting node stops waiting for lenders; it then has its even share.
+const LENDER_WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Shares and lenders of this node.
-pub(super) struct ShareDesk {
+/// Shares that this node holds and account groups that it lends for.
+pub(super) struct ShareTable {
     pub(super) groups: Vec<LenderGroup>,
     holders: HashMap<String, ShareHolder>,
     demands: HashMap<String, f64>,
-    asked_at: Moment,
+    measured_at: Moment,
     fetched_at: HashMap<String, Moment>,
     answered: [bool; ACCOUNT_GROUP_COUNT as usize],
 }
 
-impl ShareDesk {
+impl ShareTable {
     pub(super) fn new(name: &str, seed: u64) -> Self {
         let groups = (0..ACCOUNT_GROUP_COUNT).map(|_| LenderGroup::new(name, seed));
         Self {
             groups: groups.collect(),
             holders: HashMap::new(),
             demands: HashMap::new(),
-            asked_at: Moment::ZERO,
+            measured_at: Moment::ZERO,
             fetched_at: HashMap::new(),
             answered: [false; ACCOUNT_GROUP_COUNT as usize],
         }
     }
 
-    /// Returns what is asked for an account.
+    /// Builds the demand of an account.
     fn demand_of(&self, now: Moment, account: &str, rate: f64, running: u32) -> ShareDemand {
         let contact = self.groups[usize::from(account_group(account))].contact;
         let holder = self.holders.get(account);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Returns the groups whose lease this node holds.
+    /// Returns the account groups whose lease this node holds.
     pub(super) fn held_groups(&self, now: Moment) -> Vec<usize> {
         let held = self.groups.iter().enumerate();
         let held = held.filter(|(_, group)| group.lease.token(now).is_some());
@@ -92,30 +93,30 @@
     }
 }
 
-/// Keeps leases, asks for shares and applies them, for as long as the node runs.
-pub(super) async fn follow_shares(context: Rc<ControlContext>) {
+/// Maintains leases, requests shares and applies them for as long as the node runs.
+pub(super) async fn run_shares(context: Rc<ControlContext>) {
     loop {
-        Timer::after(ROUND_PAUSE).await;
+        Timer::after(ROUND_INTERVAL).await;
         for group in 0..ACCOUNT_GROUP_COUNT {
             step_lease(&context, group);
         }
         let mut demands = measure_demands(&context);
         for group in 0..ACCOUNT_GROUP_COUNT {
-            // Without demands the ask shows that this node is there.
+            // A request without demands shows the lender that this node is alive.
             let own = demands.remove(&group).unwrap_or_default();
-            let ask = ask_shares(context.clone(), group, own, true);
-            context.executor.spawn(ask).detach();
+            let request = request_shares(context.clone(), group, own, true);
+            context.executor.spawn(request).detach();
         }
         apply_limits(&context);
-        greet_lenders(&context);
+        contact_lenders(&context);
         let now = context.now();
         let held = context.shares.borrow().held_groups(now).len();
         context.state.metrics.lent_groups.set(held as i64);
     }
 }
 
-/// Asks for shares that requests wait for.
-pub(super) async fn take_fetches(context: Rc<ControlContext>, calls: Receiver<ShareCall>) {
+/// Fetches shares that requests are waiting for.
+pub(super) async fn serve_share_fetches(context: Rc<ControlContext>, calls: Receiver<ShareCall>) {
     while let Ok(call) = calls.recv().await {
         context
             .executor
@@ -127,43 +128,44 @@
 async fn fetch_share(context: Rc<ControlContext>, call: ShareCall) {
     let now = context.now();
     let due = {
-        let mut desk = context.shares.borrow_mut();
-        let last = desk.fetched_at.get(&call.account).copied();
-        let due = last.is_none_or(|last| now.saturating_sub(last) >= FETCH_PAUSE);
+        let mut table = context.shares.borrow_mut();
+        let last = table.fetched_at.get(&call.account).copied();
+        let due = last.is_none_or(|last| now.saturating_sub(last) >= FETCH_INTERVAL);
         if due {
-            desk.fetched_at.insert(call.account.clone(), now);
+            table.fetched_at.insert(call.account.clone(), now);
         }
         due
     };
     if due {
         let demand = fetch_demand(&context, &call.account);
         let group = account_group(&call.account);
-        ask_shares(context.clone(), group, vec![demand], false).await;
+        request_shares(context.clone(), group, vec![demand], false).await;
         apply_limits(&context);
     }
-    // A request that is gone needs no word.
+    // A cancelled request needs no reply.
     let _ = call.reply.try_send(());
 }
 
 fn fetch_demand(context: &ControlContext, account: &str) -> ShareDemand {
     let now = context.now();
-    let desk = context.shares.borrow();
+    let table = context.shares.borrow();
     let running = context
         .state
         .limits()
         .get(account)
         .map_or(0, |limit| limit.running());
-    let rate = desk
+    let rate = table
         .demands
         .get(account)
         .copied()
         .unwrap_or(0.0)
         .max(FETCH_DEMAND);
-    desk.demand_of(now, account, rate, running)
+    table.demand_of(now, account, rate, running)
 }
 
-/// Asks each lender once, so that a starting node is not ready before its accounts have shares.
-fn greet_lenders(context: &Rc<ControlContext>) {
+/// Requests a share from each lender that hasn't granted one yet, so that a starting node isn't
+/// ready before its accounts have shares.
+fn contact_lenders(context: &Rc<ControlContext>) {
     let state = &context.state;
     if state.lenders_known.load(Ordering::SeqCst) {
         return;
@@ -179,28 +181,28 @@
         };
         waiting = true;
         let demand = fetch_demand(context, &account.name);
-        let ask = ask_shares(context.clone(), group, vec![demand], false);
-        context.executor.spawn(ask).detach();
+        let request = request_shares(context.clone(), group, vec![demand], false);
+        context.executor.spawn(request).detach();
     }
     let alone = state.settings.fleet_size <= 1;
     let known = alone || (!waiting && !config.accounts.is_empty());
-    if known || context.now() >= LENDER_WAIT {
+    if known || context.now() >= LENDER_WAIT_TIMEOUT {
         state.lenders_known.store(true, Ordering::SeqCst);
-        super::note_ready(state);
+        super::update_ready(state);
     }
 }
 
-/// Sets every account's limits on this node to its share.
+/// Sets the limits of every account on this node to its usable share.
 pub(super) fn apply_limits(context: &ControlContext) {
     let now = context.now();
     let config = context.state.config.load();
     let fleet_size = context.state.settings.fleet_size;
-    let mut desk = context.shares.borrow_mut();
+    let mut table = context.shares.borrow_mut();
     let mut limits = context.state.limits();
     for account in config.accounts.values() {
-        let contact = desk.groups[usize::from(account_group(&account.name))].contact;
+        let contact = table.groups[usize::from(account_group(&account.name))].contact;
         let fresh = || ShareHolder::new(limit_of(account), fleet_size);
-        let holder = desk
+        let holder = table
             .holders
             .entry(account.name.to_string())
             .or_insert_with(fresh);
@@ -212,40 +214,43 @@
     }
 }
 
-/// Measures what each account asked of this node since the last round, by group.
+/// Measures each account's demand at this node since the last round, by account group.
 fn measure_demands(context: &ControlContext) -> BTreeMap<u16, Vec<ShareDemand>> {
     let now = context.now();
-    let mut desk = context.shares.borrow_mut();
-    let span = now.saturating_sub(desk.asked_at).as_secs_f64().max(0.001);
-    desk.asked_at = now;
+    let mut table = context.shares.borrow_mut();
+    let elapsed = now
+        .saturating_sub(table.measured_at)
+        .as_secs_f64()
+        .max(0.001);
+    table.measured_at = now;
     let mut by_group: BTreeMap<u16, Vec<ShareDemand>> = BTreeMap::new();
     for (account, limit) in context.state.limits().iter_mut() {
-        let rate = f64::from(limit.take_arrivals()) / span;
-        let demand = desk.demands.entry(account.to_string()).or_default();
+        let rate = f64::from(limit.take_arrivals()) / elapsed;
+        let demand = table.demands.entry(account.to_string()).or_default();
         *demand += DEMAND_WEIGHT * (rate - *demand);
         let demand = *demand;
-        // A share that is not asked for again ends by itself.
-        if demand < LEAST_DEMAND {
+        // A share that isn't requested again expires by itself.
+        if demand < MIN_DEMAND {
             continue;
         }
-        let asked = desk.demand_of(now, account, demand, limit.running());
+        let share_demand = table.demand_of(now, account, demand, limit.running());
         by_group
             .entry(account_group(account))
             .or_default()
-            .push(asked);
+            .push(share_demand);
     }
     by_group
 }
 
-/// Asks the lender of a group and takes its grants. `whole` tells that the demands are all that this
-/// node has in the group.
-async fn ask_shares(
+/// Requests shares from the lender of a group and applies its grants. `is_complete` states that
+/// `demands` covers all accounts of the group that have demand at this node.
+async fn request_shares(
     context: Rc<ControlContext>,
     group: u16,
     demands: Vec<ShareDemand>,
-    whole: bool,
+    is_complete: bool,
 ) {
-    let asked = context.now();
+    let requested_at = context.now();
     let lender = context.duty_holder(&Duty::Lend(group));
     let node = context.state.settings.name.to_string();
     let stamp = context.shares.borrow().groups[usize::from(group)].stamp;
@@ -254,7 +259,7 @@
         .map(|demand| demand.account.clone())
         .collect();
     let reply = if lender == node {
-        answer_share(&context, &node, group, stamp, &demands)
+        handle_share(&context, &node, group, stamp, &demands)
     } else {
         let address = context
             .members
@@ -270,7 +275,7 @@
             stamp,
             demands,
         };
-        match context.peers.call(address, &request, ASK_LIMIT).await {
+        match context.peers.call(address, &request, LENDER_TIMEOUT).await {
             Ok(reply) => reply,
             Err(_) => return,
         }
@@ -279,22 +284,23 @@
         return;
     };
     let now = context.now();
-    let mut desk = context.shares.borrow_mut();
-    // A lender that only listens, or can't lend yet, leaves a starting node unready.
-    desk.answered[usize::from(group)] |= grants.iter().any(|grant| grant.size.concurrency > 0);
-    let state = &mut desk.groups[usize::from(group)];
+    let mut table = context.shares.borrow_mut();
+    // A lender that only records contacts or can't lend yet grants nothing, so that a starting node
+    // doesn't become ready through it.
+    table.answered[usize::from(group)] |= grants.iter().any(|grant| grant.size.concurrency > 0);
+    let state = &mut table.groups[usize::from(group)];
     state.contact = now;
     state.stamp = stamp;
     for grant in grants {
-        if let Some(holder) = desk.holders.get_mut(&grant.account) {
-            holder.apply(asked, &grant);
+        if let Some(holder) = table.holders.get_mut(&grant.account) {
+            holder.apply(requested_at, &grant);
         }
     }
-    if whole {
-        let others = desk
+    if is_complete {
+        let others = table
             .holders
             .iter_mut()
             .filter(|(account, _)| account_group(account) == group && !listed.contains(account));
-        others.for_each(|(_, holder)| holder.clear_expired(asked));
+        others.for_each(|(_, holder)| holder.clear_expired(requested_at));
     }
 }
--- a/packages/turnford-node/src/control/targets.rs
+++ b/packages/turnford-node/src/control/targets.rs
@@ -1,4 +1,4 @@
-//! Follows the VM list and the targets' load reports.
+//! Polls the VM list and the targets' load reports.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,57 +16,64 @@
 use turnford_policy::TargetId;
 
 use super::context::ControlContext;
-use super::note_ready;
-use super::rumors::tell_rumors;
+use super::rumors::publish_rumors;
+use super::update_ready;
 use crate::inbox::LeavingSignal;
 use crate::place::StagePool;
 use crate::state::AddressMap;
 use crate::state::NodeState;
 use crate::state::PoolMap;
 
-/// Pause between reads of the VM list.
-const LIST_PAUSE: Duration = Duration::from_millis(1000);
+/// Interval between reads of the VM list.
+const LIST_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Pause between rounds of load reports where they are all that is known of others' work.
-const REPORT_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between rounds of load reports while they are the only source for the load from other
+/// nodes.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause between rounds while the digests of all peers say the same, and sooner.
-const SPARE_PAUSE: Duration = Duration::from_millis(1000);
+/// Interval between rounds of load reports while the digests of all peers bring the same data
+/// sooner.
+const RELAXED_REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// One-way delay assumed inside a hall, between halls and between regions.
-const DISTANCES: [Duration; 3] = [
+/// Assumed one-way delay within a hall, between halls of a region, and between regions.
+const ONE_WAY_DELAYS: [Duration; 3] = [
     Duration::from_micros(100),
     Duration::from_micros(600),
     Duration::from_millis(15),
 ];
 
-/// Reads the VM list again and again. A failed read keeps the last list.
-pub(super) async fn follow_targets(context: Rc<ControlContext>) {
+/// Polls the VM list. After a failed read the last list remains in use.
+pub(super) async fn poll_targets(context: Rc<ControlContext>) {
     let mut last: Vec<VmEntry> = Vec::new();
     loop {
         match context.vms.list().await {
             Ok(list) if list != last => {
                 apply_list(&context, &list);
                 last = list;
-                note_ready(&context.state);
+                update_ready(&context.state);
             }
             Ok(_) => (),
-            Err(fault) => log::warn!("the VM list can't be read: {fault}"),
+            Err(error) => log::warn!("can't read the VM list: {error}"),
         }
-        Timer::after(LIST_PAUSE).await;
+        Timer::after(LIST_INTERVAL).await;
     }
 }
 
-/// Asks each target for its load, all at once in each round.
-pub(super) async fn follow_reports(context: Rc<ControlContext>) {
+/// Fetches the load reports of all targets, concurrently within a round.
+pub(super) async fn poll_reports(context: Rc<ControlContext>) {
     loop {
-        let spare = context.digests_complete.get();
-        Timer::after(if spare { SPARE_PAUSE } else { REPORT_PAUSE }).await;
+        let relaxed = context.digests_complete.get();
+        Timer::after(if relaxed {
+            RELAXED_REPORT_INTERVAL
+        } else {
+            REPORT_INTERVAL
+        })
+        .await;
         let mut tasks = Vec::new();
         for (service, pool) in context.state.pools.load().iter() {
             for target in live_targets(pool) {
-                let ask = ask_report(context.clone(), service.clone(), target);
-                tasks.push(context.executor.spawn(ask));
+                let task = fetch_report(context.clone(), service.clone(), target);
+                tasks.push(context.executor.spawn(task));
             }
         }
         for task in tasks {
@@ -75,14 +82,14 @@
     }
 }
 
-/// Tells the fleet of targets that traffic saw leaving.
-pub(super) async fn follow_signals(context: Rc<ControlContext>, signals: Receiver<LeavingSignal>) {
+/// Announces targets that request threads have found leaving.
+pub(super) async fn relay_signals(context: Rc<ControlContext>, signals: Receiver<LeavingSignal>) {
     while let Ok(signal) = signals.recv().await {
-        tell_leaving(&context, &signal.service, &signal.target, "its refusal");
+        announce_leaving(&context, &signal.service, &signal.target, "its refusal");
     }
 }
 
-async fn ask_report(context: Rc<ControlContext>, service: ServiceId, target: TargetId) {
+async fn fetch_report(context: Rc<ControlContext>, service: ServiceId, target: TargetId) {
     let state = &context.state;
     let Some(address) = state.addresses.load().get(&target).copied() else {
         return;
@@ -93,7 +100,7 @@
     let Some(pool) = state.pool(&service) else {
         return;
     };
-    let left = pool.with(|now, pool| {
+    let is_newly_leaving = pool.with(|now, pool| {
         let taken_at = now.saturating_sub(Duration::from_millis(report.age_ms));
         let inflight = report.running.saturating_add(report.queued);
         pool.apply_report(&target, LoadReport { inflight, taken_at });
@@ -104,27 +111,27 @@
             );
         }
         if !report.leaving && pool.mark_active(&target, taken_at) {
-            log::info!("target {target} takes work again, by its own report");
+            log::info!("target {target} is active again, according to its own report");
         }
         report.leaving && pool.mark_leaving(now, &target)
     });
-    if left {
-        tell_leaving(&context, &service, &target, "its own report");
+    if is_newly_leaving {
+        announce_leaving(&context, &service, &target, "its own report");
     }
 }
 
-/// Marks a target as leaving here and tells the others.
-fn tell_leaving(context: &Rc<ControlContext>, service: &str, target: &str, by: &str) {
+/// Marks a target as leaving on this node and announces it to the others.
+fn announce_leaving(context: &Rc<ControlContext>, service: &str, target: &str, source: &str) {
     if let Some(pool) = context.state.pool(service) {
         pool.with(|now, pool| pool.mark_leaving(now, target));
     }
-    log::info!("target {target} leaves, by {by}");
+    log::info!("target {target} is leaving, according to {source}");
     let rumor = Rumor::Leaving {
         service: service.to_owned(),
         target: target.to_owned(),
         event: rand::random(),
     };
-    tell_rumors(context, vec![rumor]);
+    publish_rumors(context, vec![rumor]);
 }
 
 fn live_targets(pool: &StagePool) -> Vec<TargetId> {
@@ -144,7 +151,7 @@
         addresses.insert(facts.id.clone(), entry.address);
         by_service.entry(service).or_default().push(facts);
     }
-    // Targets that left the list may still run calls of this node.
+    // Targets that are no longer listed may still run calls of this node.
     let old = state.addresses.load();
     for (target, address) in old.iter() {
         addresses.entry(target.clone()).or_insert(*address);
@@ -177,15 +184,15 @@
         };
         let leaving = entry.state == VmState::Leaving;
         if pool.with(|now, pool| pool.apply_listed_leaving(now, &entry.name, leaving)) {
-            tell_leaving(context, &entry.service, &entry.name, "the VM list");
+            announce_leaving(context, &entry.service, &entry.name, "the VM list");
         }
     }
 }
 
 fn facts_of(state: &NodeState, entry: &VmEntry) -> TargetFacts {
     let settings = &state.settings;
-    let [hall, region, far] = DISTANCES;
-    let distance = if entry.hall == *settings.hall {
+    let [hall, region, far] = ONE_WAY_DELAYS;
+    let delay = if entry.hall == *settings.hall {
         hall
     } else if entry.region == *settings.region {
         region
@@ -197,7 +204,7 @@
         hardware: Arc::from(entry.hardware.as_str()),
         slots: entry.slots,
         cost: entry.cost,
-        one_way_delay: distance,
+        one_way_delay: delay,
         models: entry
             .models
             .iter()
--- a/packages/turnford-node/src/entry.rs
+++ b/packages/turnford-node/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry for callers: pipelines, health, metrics and status.
+//! HTTP interface for clients and operators: pipelines, health, metrics, status and drain.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -9,23 +9,23 @@
 use turnford_policy::AttemptId;
 use turnford_policy::ResultCode;
 
-use crate::admit::account_of;
-use crate::admit::admit_call;
+use crate::admit::admit_request;
+use crate::admit::find_request_account;
 use crate::admit::AdmittedRequest;
-use crate::answer::RequestEnd;
+use crate::answer::RequestOutcome;
 use crate::runner::run_request;
 use crate::state::NodeState;
 use crate::status::node_status;
 use crate::stream::stream_request;
 
-/// Answers one call.
-pub(crate) async fn handle_call(
+/// Handles one HTTP request.
+pub(crate) async fn handle_request(
     state: Arc<NodeState>,
-    call: BufferedRequest,
+    request: BufferedRequest,
 ) -> Option<HttpResponse> {
-    let path = call.path.clone();
-    let response = match (call.method.as_str(), path.as_str()) {
-        ("POST", path) if path.starts_with("/v1/pipelines/") => run_pipeline(&state, call).await,
+    let path = request.path.clone();
+    let response = match (request.method.as_str(), path.as_str()) {
+        ("POST", path) if path.starts_with("/v1/pipelines/") => run_pipeline(&state, request).await,
         ("GET", "/healthz") => HttpResponse::new(StatusCode::OK),
         ("GET", "/readyz") => ready(&state),
         ("GET", "/metrics") => metrics(&state),
@@ -36,42 +36,43 @@
     Some(response)
 }
 
-async fn run_pipeline(state: &Arc<NodeState>, call: BufferedRequest) -> HttpResponse {
+async fn run_pipeline(state: &Arc<NodeState>, request: BufferedRequest) -> HttpResponse {
     let trace = state.attempts.next_request();
-    let accept = call.header("accept").unwrap_or("");
+    let accept = request.header("accept").unwrap_or("");
     let streams = accept.contains("text/event-stream");
-    match admit_with_share(state, &call, trace).await {
+    match admit_with_share(state, &request, trace).await {
         Ok(request) if streams => stream_request(request),
         Ok(request) => run_request(request, None).await.response(trace),
-        Err(end) => {
-            note_refusal(state, &end);
-            end.response(trace)
+        Err(outcome) => {
+            record_refusal(state, &outcome);
+            outcome.response(trace)
         }
     }
 }
 
-/// Admits a call. Where this node's share of a limit is used up, a larger one is asked for first.
+/// Admits a request. If this node's share of a limit is used up, requests a larger one and tries
+/// once more.
 async fn admit_with_share(
     state: &Arc<NodeState>,
-    call: &BufferedRequest,
+    request: &BufferedRequest,
     trace: AttemptId,
-) -> Result<AdmittedRequest, RequestEnd> {
-    let end = match admit_call(state, call, trace) {
-        Err(end) if end.code.is_limit() && state.settings.fleet_size > 1 => end,
+) -> Result<AdmittedRequest, RequestOutcome> {
+    let outcome = match admit_request(state, request, trace) {
+        Err(outcome) if outcome.code.is_limit() && state.settings.fleet_size > 1 => outcome,
         other => return other,
     };
-    let Some(account) = account_of(state, call) else {
-        return Err(end);
+    let Some(account) = find_request_account(state, request) else {
+        return Err(outcome);
     };
     state.control.fetch_share(&account.name).await;
-    admit_call(state, call, trace)
+    admit_request(state, request, trace)
 }
 
-/// Counts a refusal without the account's name, which may be unknown.
-fn note_refusal(state: &NodeState, end: &RequestEnd) {
+/// Counts a refused request without its account, which may be unknown.
+fn record_refusal(state: &NodeState, outcome: &RequestOutcome) {
     state
         .metrics
-        .note_end("-", u8::MAX, end.code, std::time::Duration::ZERO);
+        .record_end("-", u8::MAX, outcome.code, std::time::Duration::ZERO);
 }
 
 fn ready(state: &NodeState) -> HttpResponse {
@@ -106,14 +107,14 @@
 
 fn start_drain(state: &NodeState) -> HttpResponse {
     if !state.draining.swap(true, Ordering::SeqCst) {
-        log::warn!("planned stop begins: no new requests");
+        log::warn!("graceful shutdown started; refusing new requests");
     }
     HttpResponse::new(StatusCode::ACCEPTED)
 }
 
 fn unknown_path(state: &NodeState) -> HttpResponse {
-    let end = RequestEnd::not_run(ResultCode::BadRequest, "unknown path or method");
-    let mut response = end.response(state.attempts.next_request());
+    let outcome = RequestOutcome::not_run(ResultCode::BadRequest, "unknown path or method");
+    let mut response = outcome.response(state.attempts.next_request());
     response.set_status(StatusCode::NOT_FOUND);
     response
 }
--- a/packages/turnford-node/src/inbox.rs
+++ b/packages/turnford-node/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What traffic hands to the control thread.
+//! Messages from request threads to the control thread.
 
 use std::time::Duration;
 
@@ -7,39 +7,39 @@
 use turnford_fleet::ClaimRequest;
 use turnford_fleet::ClaimVerdict;
 
-/// Messages that may wait for control before senders are refused.
-const INBOX_LIMIT: usize = 20_000;
+/// Capacity of each channel to the control thread; further messages are refused.
+const INBOX_CAPACITY: usize = 20_000;
 
-/// A claim that a request asks for, or a note on one.
+/// A request to acquire or to settle a claim.
 pub(crate) struct ClaimCall {
-    pub(crate) ask: ClaimRequest,
-    /// Time in which an answer is of use.
-    pub(crate) limit: Duration,
-    /// Where the answer goes; `None` if nobody waits for it.
+    pub(crate) request: ClaimRequest,
+    /// Time after which the verdict is no longer needed.
+    pub(crate) timeout: Duration,
+    /// Receives the verdict; `None` if nobody waits for it.
     pub(crate) reply: Option<Sender<ClaimVerdict>>,
 }
 
-/// A target that showed by its answer that it leaves.
+/// Reports a target whose response shows that it is leaving.
 pub(crate) struct LeavingSignal {
     pub(crate) service: String,
     pub(crate) target: String,
 }
 
-/// A request that met its account's share and waits for a larger one.
+/// A request for a larger share of an account's limits.
 pub(crate) struct ShareCall {
     pub(crate) account: String,
-    /// Told once the share was asked for, whatever the answer.
+    /// Receives a message once the share has been requested, whatever the reply.
     pub(crate) reply: Sender<()>,
 }
 
-/// Receiving ends, for the control thread.
+/// Receivers of the control thread.
 pub(crate) struct ControlInbox {
     pub(crate) claims: Receiver<ClaimCall>,
     pub(crate) signals: Receiver<LeavingSignal>,
     pub(crate) shares: Receiver<ShareCall>,
 }
 
-/// Sending ends, for traffic.
+/// Senders of the request threads.
 #[derive(Clone)]
 pub(crate) struct ControlOutbox {
     claims: Sender<ClaimCall>,
@@ -47,11 +47,11 @@
     shares: Sender<ShareCall>,
 }
 
-/// Makes both ends.
+/// Creates the channels between request threads and the control thread.
 pub(crate) fn control_channel() -> (ControlOutbox, ControlInbox) {
-    let (claims, claims_in) = async_channel::bounded(INBOX_LIMIT);
-    let (signals, signals_in) = async_channel::bounded(INBOX_LIMIT);
-    let (shares, shares_in) = async_channel::bounded(INBOX_LIMIT);
+    let (claims, claims_in) = async_channel::bounded(INBOX_CAPACITY);
+    let (signals, signals_in) = async_channel::bounded(INBOX_CAPACITY);
+    let (shares, shares_in) = async_channel::bounded(INBOX_CAPACITY);
     let outbox = ControlOutbox {
         claims,
         signals,
@@ -66,12 +66,12 @@
 }
 
 impl ControlOutbox {
-    /// Asks for a claim and waits for the verdict.
-    pub(crate) async fn claim(&self, ask: ClaimRequest, limit: Duration) -> ClaimVerdict {
+    /// Submits a claim request and waits for its verdict.
+    pub(crate) async fn claim(&self, request: ClaimRequest, timeout: Duration) -> ClaimVerdict {
         let (reply, verdict) = async_channel::bounded(1);
         let call = ClaimCall {
-            ask,
-            limit,
+            request,
+            timeout,
             reply: Some(reply),
         };
         if self.claims.try_send(call).is_err() {
@@ -80,35 +80,35 @@
         verdict.recv().await.unwrap_or(ClaimVerdict::Unavailable)
     }
 
-    /// Hands over a note on a claim; nobody waits for it.
-    pub(crate) fn note_claim(&self, ask: ClaimRequest, limit: Duration) {
+    /// Submits the settlement of a claim without waiting for it.
+    pub(crate) fn settle_claim(&self, request: ClaimRequest, timeout: Duration) {
         let call = ClaimCall {
-            ask,
-            limit,
+            request,
+            timeout,
             reply: None,
         };
         if self.claims.try_send(call).is_err() {
-            log::warn!("a note on a claim was dropped: control is too far behind");
+            log::warn!("settlement of a claim dropped: control thread's queue is full");
         }
     }
 
-    /// Asks for a larger share of an account's limits, and waits until that was tried.
+    /// Requests a larger share of an account's limits and waits until the request has completed.
     pub(crate) async fn fetch_share(&self, account: &str) {
         let (reply, done) = async_channel::bounded(1);
         let account = account.to_owned();
         if self.shares.try_send(ShareCall { account, reply }).is_ok() {
-            // The sender is dropped without a word only when the node ends.
+            // The sender is dropped without a message only on shutdown.
             let _ = done.recv().await;
         }
     }
 
-    /// Tells control that a target leaves.
+    /// Reports a leaving target to the control thread.
     pub(crate) fn signal_leaving(&self, service: &str, target: &str) {
         let signal = LeavingSignal {
             service: service.to_owned(),
             target: target.to_owned(),
         };
-        // A signal that finds no room is one of many of its kind.
+        // A signal that finds the channel full is one of many that report the same.
         let _ = self.signals.try_send(signal);
     }
 }
--- a/packages/turnford-node/src/lib.rs
+++ b/packages/turnford-node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The running node: entry, stage runner, control thread and planned stop.
+//! The node that runs pipelines: HTTP interface, stage execution, control thread and graceful
+//! shutdown.
 //!
-//! One thread holds the control state; the others carry traffic. Traffic reads snapshots and never
-//! waits for control.
+//! One thread owns the control state; the others serve requests. Request threads read snapshots and
+//! don't block on the control state.
 
 mod admit;
 mod answer;
--- a/packages/turnford-node/src/metrics.rs
+++ b/packages/turnford-node/src/metrics.rs
@@ -16,10 +16,10 @@
 /// Smallest bucket of time histograms, in seconds.
 const SMALLEST_BUCKET: f64 = 0.001;
 
-/// Buckets of time histograms, each twice the one before.
+/// Number of buckets of time histograms; each is twice as wide as the one before.
 const BUCKET_COUNT: u16 = 16;
 
-/// Labels of one request's end. Accounts are those of the configuration, so the set is bounded.
+/// Labels of the request counter. Accounts come from the configuration, which bounds the label set.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct EndLabels {
     account: String,
@@ -27,47 +27,47 @@
     code: u32,
 }
 
-/// Labels of a request's time.
+/// Labels of the request time histogram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct AccountLabels {
     account: String,
     class: u32,
 }
 
-/// Labels of a stage.
+/// Labels of the stage histograms.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StageLabels {
     service: String,
     stage: String,
 }
 
-/// Labels of what is counted for a service.
+/// Label of the event counter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct EventLabels {
     event: &'static str,
 }
 
-/// Things that are counted by name.
+/// Events that are counted by name.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum NodeEvent {
-    /// An answer that belongs to another attempt was dropped.
-    OtherAttempt,
-    /// A stage was tried again.
+    /// A response to another attempt was discarded.
+    AttemptMismatch,
+    /// A stage was retried.
     Retry,
-    /// A stream was resumed at another engine.
+    /// A token stream was resumed at another target.
     Resume,
-    /// A caller went away.
+    /// A client disconnected before its request ended.
     CallerGone,
-    /// A promise of the program itself does not hold.
+    /// An internal invariant was violated.
     Invariant,
-    /// A newer configuration came into force.
+    /// A new configuration was activated.
     ConfigApplied,
 }
 
 impl NodeEvent {
     fn label(self) -> &'static str {
         match self {
-            NodeEvent::OtherAttempt => "other-attempt",
+            NodeEvent::AttemptMismatch => "other-attempt",
             NodeEvent::Retry => "retry",
             NodeEvent::Resume => "resume",
             NodeEvent::CallerGone => "caller-gone",
@@ -77,7 +77,7 @@
     }
 }
 
-/// All metrics of a node.
+/// Metrics of one node.
 pub(crate) struct NodeMetrics {
     registry: Registry,
     ends: Family<EndLabels, Counter>,
@@ -115,8 +115,8 @@
         metrics
     }
 
-    /// Counts the end of a request.
-    pub(crate) fn note_end(&self, account: &str, class: u8, code: ResultCode, time: Duration) {
+    /// Records the end of a request and its duration.
+    pub(crate) fn record_end(&self, account: &str, class: u8, code: ResultCode, time: Duration) {
         let class = u32::from(class);
         let labels = EndLabels {
             account: account.to_owned(),
@@ -133,8 +133,8 @@
             .observe(time.as_secs_f64());
     }
 
-    /// Counts one stage's wait and run.
-    pub(crate) fn note_stage(&self, service: &str, stage: &str, wait: Duration, run: Duration) {
+    /// Records the queueing time and the run time of a stage.
+    pub(crate) fn record_stage(&self, service: &str, stage: &str, wait: Duration, run: Duration) {
         let labels = StageLabels {
             service: service.to_owned(),
             stage: stage.to_owned(),
@@ -148,15 +148,15 @@
     }
 
     /// Counts an event.
-    pub(crate) fn note(&self, event: NodeEvent) {
+    pub(crate) fn record_event(&self, event: NodeEvent) {
         let event = event.label();
         self.events.get_or_create(&EventLabels { event }).inc();
     }
 
-    /// Returns all metrics as OpenMetrics text.
+    /// Encodes all metrics as OpenMetrics text.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a text does not fail.
+        // Writing to a `String` is infallible.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/packages/turnford-node/src/node.rs
+++ b/packages/turnford-node/src/node.rs
@@ -1,4 +1,4 @@
-//! A running node: its threads and its planned stop.
+//! A running node: its threads and its graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,21 +19,21 @@
 use turnford_policy::PoolSettings;
 use turnford_policy::SystemClock;
 
-use crate::control::pump_pools;
+use crate::control::dispatch_pools;
 use crate::control::run_control;
-use crate::entry::handle_call;
+use crate::entry::handle_request;
 use crate::inbox::control_channel;
 use crate::state::NodeState;
 
-/// Pause between looks whether running requests ended.
-const DRAIN_PAUSE: Duration = Duration::from_millis(20);
+/// Interval between checks for the end of running requests; also the pause after a failed `accept`.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is set from outside the settings file, for baselines and tests.
+/// Options outside the settings file, for baseline runs and tests.
 #[derive(Clone, Debug)]
 pub struct NodeOptions {
-    /// How pools behave.
+    /// Settings of the stage pools.
     pub pool: PoolSettings,
-    /// Whether admission over the whole chain is used.
+    /// Whether requests that can't finish all stages by their deadline are refused.
     pub admission_control: bool,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A running node.
+/// A running node and the handles of its threads.
 pub struct Node {
     state: Arc<NodeState>,
     address: SocketAddr,
@@ -55,11 +55,11 @@
 }
 
 impl Node {
-    /// Starts a node. Port 0 lets the system choose; [`Node::address`] tells which.
+    /// Starts a node. With port 0 the system picks a port; [`Node::address`] returns it.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if an address can't be bound or a thread not started.
+    /// Returns the system's error if an address can't be bound or a thread can't be started.
     pub fn start(mut settings: NodeSettings, options: NodeOptions) -> io::Result<Self> {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let listener = bind_listener(settings.listen)?;
@@ -98,7 +98,7 @@
                 run_traffic(traffic_state, listener, number, wait_stop(traffic_stop));
             })?);
         }
-        log::info!("node {} listens on {address}", state.settings.name);
+        log::info!("node {} listening on {address}", state.settings.name);
         Ok(Self {
             state,
             address,
@@ -107,38 +107,39 @@
         })
     }
 
-    /// Returns the address for callers.
+    /// Returns the address for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells whether configuration and targets are known.
+    /// Returns whether the node has what it needs to serve requests: configuration, targets and
+    /// lenders.
     pub fn is_ready(&self) -> bool {
         self.state.ready.load(Ordering::SeqCst)
     }
 
-    /// Tells whether a planned stop was asked for.
+    /// Returns whether a graceful shutdown has begun.
     pub fn is_draining(&self) -> bool {
         self.state.draining.load(Ordering::SeqCst)
     }
 
-    /// Stops taking requests, waits until the running ones ended or the grace time passed, and
-    /// returns how many were still running then.
+    /// Stops accepting requests and waits until the running ones end or the drain timeout passes.
+    /// Returns the number of requests still running.
     pub async fn drain(&self) -> u64 {
         self.state.draining.store(true, Ordering::SeqCst);
-        let begun = self.state.clock.now();
+        let started = self.state.clock.now();
         loop {
             let running = self.state.running.load(Ordering::SeqCst);
-            let waited = self.state.clock.now().saturating_sub(begun);
+            let waited = self.state.clock.now().saturating_sub(started);
             if running == 0 || waited >= self.state.settings.drain_timeout {
                 return running;
             }
-            Timer::after(DRAIN_PAUSE).await;
+            Timer::after(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Ends the node's threads at once. Requests that still run are cut; a planned stop calls
-    /// [`Node::drain`] first.
+    /// Stops the node's threads immediately, which aborts requests that are still running. A
+    /// graceful shutdown calls [`Node::drain`] first.
     pub fn stop(mut self) {
         self.stop.close();
         for thread in self.threads.drain(..) {
@@ -154,11 +155,11 @@
 }
 
 async fn wait_stop(stopped: async_channel::Receiver<()>) {
-    // Nothing is ever sent; the channel's end is the word.
+    // No message is ever sent; closing the channel signals the stop.
     let _ = stopped.recv().await;
 }
 
-/// Serves callers on one thread.
+/// Accepts and serves client connections on one thread.
 fn run_traffic(
     state: Arc<NodeState>,
     listener: TcpListener,
@@ -167,18 +168,18 @@
 ) {
     let executor = Arc::new(Executor::new());
     if number == 0 {
-        executor.spawn(pump_pools(state.clone())).detach();
+        executor.spawn(dispatch_pools(state.clone())).detach();
     }
     let connections = executor.clone();
     let accept = async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                Timer::after(DRAIN_PAUSE).await;
+                Timer::after(DRAIN_POLL_INTERVAL).await;
                 continue;
             };
             let state = state.clone();
-            let serve = serve_connection(stream, DEFAULT_BODY_LIMIT, move |call| {
-                handle_call(state.clone(), call)
+            let serve = serve_connection(stream, DEFAULT_BODY_LIMIT, move |request| {
+                handle_request(state.clone(), request)
             });
             connections.spawn(serve).detach();
         }
--- a/packages/turnford-node/src/place.rs
+++ b/packages/turnford-node/src/place.rs
@@ -1,4 +1,4 @@
-//! Waiting for a target, and giving it back however the wait or the call ends.
+//! Acquires targets for stages and releases them however the wait or the call ends.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,9 +21,9 @@
 use turnford_policy::StageWork;
 use turnford_policy::SubmitResult;
 
-/// One service's pool, shared by the traffic threads.
+/// One service's pool, shared by the request threads.
 ///
-/// The lock is held for the few microseconds of a decision and never across a wait.
+/// The lock is held for the few microseconds of a decision and never across an await point.
 pub(crate) struct StagePool {
     inner: Mutex<PoolInner>,
     clock: Arc<dyn Clock>,
@@ -34,24 +34,25 @@
     waiters: HashMap<QueueTicket, Sender<QueueDecision>>,
 }
 
-/// Why a stage got no target.
+/// Reason why a stage got no target.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PlaceRefusal {
+pub(crate) struct PlacementRefusal {
     pub(crate) code: ResultCode,
     pub(crate) retry_after: Duration,
 }
 
-/// A target in use. Dropped without an outcome, the call counts as cancelled.
-pub(crate) struct PlaceGuard {
+/// A target in use. If dropped without an outcome, the call counts as cancelled.
+pub(crate) struct PlacementGuard {
     pool: Arc<StagePool>,
     placement: Option<StagePlacement>,
 }
 
-/// A wait. Dropped before its verdict, it leaves the queue or gives the target back.
+/// A wait in the queue. If dropped before the decision is received, it leaves the queue or releases
+/// the assigned target.
 struct WaitGuard<'a> {
     pool: &'a StagePool,
     ticket: QueueTicket,
-    verdicts: Receiver<QueueDecision>,
+    decisions: Receiver<QueueDecision>,
     done: bool,
 }
 
@@ -66,30 +67,30 @@
         if inner.pool.cancel(self.ticket) {
             return;
         }
-        if let Ok(QueueDecision::Run(_, placement)) = self.verdicts.try_recv() {
+        if let Ok(QueueDecision::Run(_, placement)) = self.decisions.try_recv() {
             inner.pool.finish(now, &placement, StageOutcome::Cancelled);
         }
     }
 }
 
-impl Drop for PlaceGuard {
+impl Drop for PlacementGuard {
     fn drop(&mut self) {
         if let Some(placement) = self.placement.take() {
-            self.pool.give_back(&placement, StageOutcome::Cancelled);
+            self.pool.release(&placement, StageOutcome::Cancelled);
         }
     }
 }
 
-impl PlaceGuard {
-    /// Returns the placement.
+impl PlacementGuard {
+    /// Returns the placement, unless the guard has released its target.
     pub(crate) fn placement(&self) -> Option<&StagePlacement> {
         self.placement.as_ref()
     }
 
-    /// Gives the target back with an outcome.
+    /// Releases the target with an outcome.
     pub(crate) fn finish(mut self, outcome: StageOutcome) {
         if let Some(placement) = self.placement.take() {
-            self.pool.give_back(&placement, outcome);
+            self.pool.release(&placement, outcome);
         }
     }
 }
@@ -106,81 +107,85 @@
         }
     }
 
-    /// Runs a short step on the pool.
-    pub(crate) fn with<T>(&self, step: impl FnOnce(Moment, &mut ServicePool) -> T) -> T {
+    /// Runs a short operation on the locked pool.
+    pub(crate) fn with<T>(&self, operation: impl FnOnce(Moment, &mut ServicePool) -> T) -> T {
         let now = self.clock.now();
-        step(now, &mut self.lock().pool)
+        operation(now, &mut self.lock().pool)
     }
 
-    /// Gets a target for a piece of work, waiting for a slot if need be.
+    /// Acquires a target for a stage, waiting for a slot if necessary.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the pool refuses or sheds the work.
     pub(crate) async fn place(
         self: &Arc<Self>,
         work: StageWork,
-    ) -> Result<PlaceGuard, PlaceRefusal> {
-        let verdict = match self.offer(work) {
-            Ok(verdict) => verdict,
+    ) -> Result<PlacementGuard, PlacementRefusal> {
+        let decision = match self.submit(work) {
+            Ok(decision) => decision,
             Err(mut wait) => {
-                let verdict = wait.verdicts.recv().await;
-                wait.done = verdict.is_ok();
-                // The sender is dropped only with the pool itself.
-                verdict.unwrap_or(QueueDecision::Shed(wait.ticket, ResultCode::Draining))
+                let decision = wait.decisions.recv().await;
+                wait.done = decision.is_ok();
+                // The sender is dropped only together with the pool.
+                decision.unwrap_or(QueueDecision::Shed(wait.ticket, ResultCode::Draining))
             }
         };
-        match verdict {
+        match decision {
             QueueDecision::Run(_, placement) => Ok(self.guard(placement)),
-            QueueDecision::Shed(_, code) => Err(PlaceRefusal {
+            QueueDecision::Shed(_, code) => Err(PlacementRefusal {
                 code,
                 retry_after: self.with(|now, pool| pool.expected_wait(now, u8::MAX)),
             }),
         }
     }
 
-    /// Gets a target for a further try, at once or not at all.
-    pub(crate) fn place_retry(self: &Arc<Self>, work: &StageWork) -> Option<PlaceGuard> {
+    /// Acquires a target for a retry if one is available at once.
+    pub(crate) fn place_retry(self: &Arc<Self>, work: &StageWork) -> Option<PlacementGuard> {
         let placement = self.with(|now, pool| pool.submit_retry(now, work))?;
         Some(self.guard(placement))
     }
 
-    /// Serves held work; called when a call ends and on a timer.
-    pub(crate) fn pump(&self) {
+    /// Dispatches queued work. Called when a call ends and on a timer.
+    pub(crate) fn dispatch(&self) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.pump(now);
+        inner.dispatch(now);
     }
 
-    /// Offers work: a verdict at once, or a wait.
-    fn offer(&self, work: StageWork) -> Result<QueueDecision, WaitGuard<'_>> {
+    /// Submits work. Returns `Err` with the wait if the work was queued.
+    fn submit(&self, work: StageWork) -> Result<QueueDecision, WaitGuard<'_>> {
         let now = self.clock.now();
         let mut inner = self.lock();
         match inner.pool.submit(now, work) {
             SubmitResult::Run(placement) => Ok(QueueDecision::Run(0, placement)),
             SubmitResult::Refused { code, .. } => Ok(QueueDecision::Shed(0, code)),
             SubmitResult::Queued(ticket) => {
-                let (sender, verdicts) = async_channel::bounded(1);
+                let (sender, decisions) = async_channel::bounded(1);
                 inner.waiters.insert(ticket, sender);
-                inner.pump(now);
+                inner.dispatch(now);
                 Err(WaitGuard {
                     pool: self,
                     ticket,
-                    verdicts,
+                    decisions,
                     done: false,
                 })
             }
         }
     }
 
-    fn guard(self: &Arc<Self>, placement: StagePlacement) -> PlaceGuard {
-        PlaceGuard {
+    fn guard(self: &Arc<Self>, placement: StagePlacement) -> PlacementGuard {
+        PlacementGuard {
             pool: self.clone(),
             placement: Some(placement),
         }
     }
 
-    fn give_back(&self, placement: &StagePlacement, outcome: StageOutcome) {
+    fn release(&self, placement: &StagePlacement, outcome: StageOutcome) {
         let now = self.clock.now();
         let mut inner = self.lock();
         inner.pool.finish(now, placement, outcome);
-        inner.pump(now);
+        inner.dispatch(now);
     }
 
     fn lock(&self) -> MutexGuard<'_, PoolInner> {
@@ -189,14 +194,14 @@
 }
 
 impl PoolInner {
-    fn pump(&mut self, now: Moment) {
-        for verdict in self.pool.dispatch(now) {
-            let ticket = match &verdict {
+    fn dispatch(&mut self, now: Moment) {
+        for decision in self.pool.dispatch(now) {
+            let ticket = match &decision {
                 QueueDecision::Run(ticket, _) | QueueDecision::Shed(ticket, _) => *ticket,
             };
             let waiter = self.waiters.remove(&ticket);
-            let sent = waiter.is_some_and(|waiter| waiter.try_send(verdict.clone()).is_ok());
-            if let (false, QueueDecision::Run(_, placement)) = (sent, &verdict) {
+            let sent = waiter.is_some_and(|waiter| waiter.try_send(decision.clone()).is_ok());
+            if let (false, QueueDecision::Run(_, placement)) = (sent, &decision) {
                 self.pool.finish(now, placement, StageOutcome::Cancelled);
             }
         }
--- a/packages/turnford-node/src/results.rs
+++ b/packages/turnford-node/src/results.rs
@@ -1,4 +1,4 @@
-//! Answers of claimed requests, to be given again to the same account for a while.
+//! Cache of the outputs of claimed requests, for repeated requests of the same account.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -7,13 +7,13 @@
 
 use turnford_fleet::ClaimKey;
 
-/// Answers kept.
-const RESULT_LIMIT: usize = 2_000;
+/// Maximum number of cached outputs.
+const MAX_RESULTS: usize = 2_000;
 
-/// Bytes of all answers kept.
-const BYTE_LIMIT: usize = 16 * 1024 * 1024;
+/// Maximum size of all cached outputs, in bytes.
+const MAX_TOTAL_BYTES: usize = 16 * 1024 * 1024;
 
-/// Whole answers by claim key, which is made from the account and the request id together.
+/// Complete outputs by claim key, which is a hash of the account and the request id.
 #[derive(Default)]
 pub(crate) struct ResultCache {
     inner: Mutex<ResultStore>,
@@ -27,16 +27,16 @@
 }
 
 impl ResultCache {
-    /// Keeps an answer, dropping the oldest ones beyond the bounds.
+    /// Inserts an output and evicts the oldest ones above the bounds.
     pub(crate) fn put(&self, key: ClaimKey, output: &str) {
         let mut store = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        if output.len() > BYTE_LIMIT || store.outputs.contains_key(&key) {
+        if output.len() > MAX_TOTAL_BYTES || store.outputs.contains_key(&key) {
             return;
         }
         store.bytes += output.len();
         store.outputs.insert(key, output.to_owned());
         store.order.push_back(key);
-        while store.order.len() > RESULT_LIMIT || store.bytes > BYTE_LIMIT {
+        while store.order.len() > MAX_RESULTS || store.bytes > MAX_TOTAL_BYTES {
             let Some(oldest) = store.order.pop_front() else {
                 return;
             };
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns an answer that is still kept.
+    /// Returns a cached output.
     pub(crate) fn get(&self, key: &ClaimKey) -> Option<String> {
         let store = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         store.outputs.get(key).cloned()
--- a/packages/turnford-node/src/runner.rs
+++ b/packages/turnford-node/src/runner.rs
@@ -1,51 +1,54 @@
-//! Runs the stages of one admitted request and gives it exactly one end.
+//! Runs the stages of an admitted request to exactly one outcome.
 
 use async_channel::Sender;
 use turnford_policy::RequestEvidence;
 use turnford_policy::ResultCode;
 
 use crate::admit::AdmittedRequest;
-use crate::answer::RequestEnd;
+use crate::answer::RequestOutcome;
 use crate::answer::StageRecord;
-use crate::claim::take_claim;
+use crate::claim::acquire_claim;
 use crate::metrics::NodeEvent;
 use crate::stage::run_stage;
 use crate::stage::StageFailure;
 use crate::stage::StageRun;
 
-/// Notes a caller that went away if the request is dropped before its end.
-struct EndGuard<'a> {
+/// Records a client disconnect if the request is dropped before its end.
+struct CancelGuard<'a> {
     request: &'a AdmittedRequest,
     ended: bool,
 }
 
-impl Drop for EndGuard<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.request.state.metrics.note(NodeEvent::CallerGone);
-            log_end(self.request, ResultCode::CallerGone, "unknown");
+            self.request
+                .state
+                .metrics
+                .record_event(NodeEvent::CallerGone);
+            log_outcome(self.request, ResultCode::CallerGone, "unknown");
         }
     }
 }
 
-/// Runs a request to its end. Tokens of the last stage go to `tokens` as they come.
+/// Runs a request to its outcome. Tokens of the last stage are sent to `tokens` as they arrive.
 pub(crate) async fn run_request(
     mut request: AdmittedRequest,
     tokens: Option<Sender<String>>,
-) -> RequestEnd {
-    let mut promises = std::mem::take(&mut request.promises);
+) -> RequestOutcome {
+    let mut pending = std::mem::take(&mut request.pending);
     let request = request;
-    let mut guard = EndGuard {
+    let mut guard = CancelGuard {
         request: &request,
         ended: false,
     };
-    let mut claim = match take_claim(&request).await {
+    let mut claim = match acquire_claim(&request).await {
         Ok(claim) => claim,
-        Err(end) => {
+        Err(outcome) => {
             guard.ended = true;
             drop(guard);
-            note_end(&request, &end);
-            return end;
+            record_end(&request, &outcome);
+            return outcome;
         }
     };
     let mut evidence = RequestEvidence::default();
@@ -54,7 +57,7 @@
     let mut failure = None;
     let last = request.template.stages.len().saturating_sub(1);
     for stage in 0..request.template.stages.len() {
-        promises.settle(stage);
+        pending.remove(stage);
         let sender = tokens.as_ref().filter(|_| stage == last);
         let run = StageRun::new(&request, stage, &text, sender);
         match run_stage(run, &mut evidence, claim.as_mut()).await {
@@ -62,29 +65,29 @@
                 text = output;
                 records.push(record);
             }
-            Err(found) => {
-                failure = Some(found);
+            Err(stage_failure) => {
+                failure = Some(stage_failure);
                 break;
             }
         }
     }
-    let mut end = make_end(&request, failure, text, &evidence);
-    end.stages = records;
+    let mut outcome = build_outcome(&request, failure, text, &evidence);
+    outcome.stages = records;
     if let Some(claim) = claim {
-        claim.finish(&end);
+        claim.finish(&outcome);
     }
     guard.ended = true;
     drop(guard);
-    note_end(&request, &end);
-    end
+    record_end(&request, &outcome);
+    outcome
 }
 
-fn make_end(
+fn build_outcome(
     request: &AdmittedRequest,
     failure: Option<StageFailure>,
     output: String,
     evidence: &RequestEvidence,
-) -> RequestEnd {
+) -> RequestOutcome {
     let Some(failure) = failure else {
         let late = request.state.clock.now() > request.budget.deadline();
         let code = if late {
@@ -92,7 +95,7 @@
         } else {
             ResultCode::Done
         };
-        return RequestEnd {
+        return RequestOutcome {
             code,
             ran: evidence.ran(),
             message: String::new(),
@@ -101,7 +104,7 @@
             stages: Vec::new(),
         };
     };
-    RequestEnd {
+    RequestOutcome {
         code: failure.code,
         ran: evidence.ran(),
         message: failure.message,
@@ -111,18 +114,18 @@
     }
 }
 
-fn note_end(request: &AdmittedRequest, end: &RequestEnd) {
+fn record_end(request: &AdmittedRequest, outcome: &RequestOutcome) {
     let time = request.state.clock.now().saturating_sub(request.started);
     let account = &request.account;
     request
         .state
         .metrics
-        .note_end(&account.name, account.class, end.code, time);
-    log_end(request, end.code, end.ran.as_str());
+        .record_end(&account.name, account.class, outcome.code, time);
+    log_outcome(request, outcome.code, outcome.ran.as_str());
 }
 
-/// Writes the one line of a request.
-fn log_end(request: &AdmittedRequest, code: ResultCode, ran: &str) {
+/// Writes a request's log line.
+fn log_outcome(request: &AdmittedRequest, code: ResultCode, ran: &str) {
     let time = request.state.clock.now().saturating_sub(request.started);
     log::info!(
         target: "request",
--- a/packages/turnford-node/src/snapshot.rs
+++ b/packages/turnford-node/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Immutable configuration that traffic reads.
+//! Immutable snapshots of the configuration for request threads.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,18 +10,19 @@
 use turnford_fleet::ConfigView;
 use turnford_fleet::Version;
 
-/// Templates and accounts of one version. A request uses one snapshot from start to end.
+/// Templates and accounts of one configuration version. A request uses one snapshot throughout.
 #[derive(Default)]
 pub(crate) struct ConfigSnapshot {
     pub(crate) version: Version,
     pub(crate) templates: HashMap<String, Arc<PipelineTemplate>>,
-    /// Accounts by the hash of their key.
+    /// Accounts by the hash of their API key.
     pub(crate) accounts: HashMap<String, Arc<ClientAccount>>,
 }
 
 impl ConfigSnapshot {
-    /// Builds a snapshot. An object that does not parse is left as it was before, if it was there.
-    pub(crate) fn build(view: &ConfigView, before: &ConfigSnapshot) -> Self {
+    /// Builds a snapshot. An object that doesn't parse keeps its state from the previous snapshot,
+    /// if it had one.
+    pub(crate) fn build(view: &ConfigView, previous: &ConfigSnapshot) -> Self {
         let mut snapshot = ConfigSnapshot {
             version: view.newest(),
             ..ConfigSnapshot::default()
@@ -32,13 +33,12 @@
             };
             match ConfigObject::parse_kind(kind, key, text) {
                 Ok(object) => snapshot.insert(object),
-                Err(problems) => {
-                    let problem = problems
-                        .first()
-                        .map(ToString::to_string)
-                        .unwrap_or_default();
-                    log::error!("{key} version {version} is not usable, kept as before: {problem}");
-                    snapshot.keep(kind, name, before);
+                Err(errors) => {
+                    let error = errors.first().map(ToString::to_string).unwrap_or_default();
+                    log::error!(
+                        "{key} version {version} is invalid, keeping the previous state: {error}"
+                    );
+                    snapshot.retain_previous(kind, name, previous);
                 }
             }
         }
@@ -58,15 +58,15 @@
         }
     }
 
-    fn keep(&mut self, kind: ObjectKind, name: &str, before: &ConfigSnapshot) {
+    fn retain_previous(&mut self, kind: ObjectKind, name: &str, previous: &ConfigSnapshot) {
         match kind {
             ObjectKind::Template => {
-                let old = before.templates.get(name);
+                let old = previous.templates.get(name);
                 self.templates
                     .extend(old.map(|old| (name.to_owned(), old.clone())));
             }
             ObjectKind::Account => {
-                let mut old = before.accounts.iter();
+                let mut old = previous.accounts.iter();
                 let old = old.find(|(_, account)| &*account.name == name);
                 self.accounts
                     .extend(old.map(|(key, old)| (key.clone(), old.clone())));
--- a/packages/turnford-node/src/stage.rs
+++ b/packages/turnford-node/src/stage.rs
@@ -1,4 +1,4 @@
-//! One stage of one request: choose a target, run, and try again where that is safe.
+//! Runs one stage of a request: acquires a target, calls it, and retries where that is safe.
 
 use std::time::Duration;
 
@@ -23,38 +23,38 @@
 use crate::answer::StageRecord;
 use crate::claim::ClaimGuard;
 use crate::metrics::NodeEvent;
-use crate::place::PlaceGuard;
-use crate::place::PlaceRefusal;
+use crate::place::PlacementGuard;
+use crate::place::PlacementRefusal;
 use crate::place::StagePool;
 
-/// Most tries of one stage.
-const TRY_LIMIT: u8 = 4;
+/// Maximum number of attempts of one stage.
+const MAX_ATTEMPTS: u8 = 4;
 
-/// Time past the deadline that a call which must not be repeated gets, so that its outcome is
-/// known more often.
-const LATE_GRACE: Duration = Duration::from_millis(500);
+/// Time past the deadline for calls that must not be repeated, so that their outcome is known more
+/// often.
+const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
-/// Least patience, so that short stages are not given up on a hiccup.
-const LEAST_PATIENCE: Duration = Duration::from_millis(250);
+/// Lower bound of the loss timeout, so that a brief stall doesn't time out a short stage.
+const MIN_LOSS_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Characters that make the prefix of an input.
+/// Characters of an input that are hashed as its prefix.
 const PREFIX_CHARS: usize = 64;
 
-/// Why a stage and with it the request ended early.
+/// Reason why a stage, and with it the request, failed.
 pub(crate) struct StageFailure {
     pub(crate) code: ResultCode,
     pub(crate) message: String,
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// One stage about to run.
+/// The state of one stage's execution, over all attempts.
 pub(crate) struct StageRun<'a> {
     request: &'a AdmittedRequest,
     index: usize,
     spec: &'a StageSpec,
     input: &'a str,
     tokens: Option<&'a Sender<String>>,
-    /// Output of a stream so far, over all tries.
+    /// Output streamed so far, over all attempts.
     streamed: String,
     received: u32,
 }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Describes the stage's work for its pool.
+    /// Builds the work item for the stage's pool.
     fn work(&self, pool: &StagePool) -> StageWork {
         let request = self.request;
         let length = stage_length(self.spec, self.input, request.parameters.max_tokens);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns the expected time of the later stages.
+    /// Returns the expected time of all later stages together.
     fn expected_later(&self) -> Duration {
         let request = self.request;
         let later = request.template.stages.iter().skip(self.index + 1);
@@ -127,27 +127,32 @@
         sum
     }
 
-    /// Returns the time that one try gets.
+    /// Returns the timeout of one attempt.
     ///
-    /// A call whose answer comes whole is given up early, once it looks lost, while another whole
-    /// try fits behind it. A token stream shows by its tokens that it is alive.
-    fn try_limit(&self, pool: &StagePool, work: &StageWork) -> Duration {
+    /// A call with a single response times out as soon as it is probably lost, provided that a full
+    /// retry still fits before the deadline. A token stream needs no such timeout, as its tokens
+    /// show that it is alive.
+    fn attempt_timeout(&self, pool: &StagePool, work: &StageWork) -> Duration {
         let now = self.now();
         let left = self.request.budget.deadline().saturating_sub(now);
         if !self.spec.repeatable {
-            return left + LATE_GRACE;
+            return left + DEADLINE_GRACE;
         }
         if self.spec.kind == CallKind::Generate {
             return left;
         }
-        let patience = pool.with(|now, pool| pool.loss_timeout(now, work.length));
-        let patience = patience.map(|patience| patience.max(LEAST_PATIENCE));
-        let fits = patience.filter(|patience| *patience + work.expected_time <= left);
-        fits.unwrap_or(left)
+        let loss_timeout = pool.with(|now, pool| pool.loss_timeout(now, work.length));
+        let loss_timeout = loss_timeout.map(|timeout| timeout.max(MIN_LOSS_TIMEOUT));
+        let fitting = loss_timeout.filter(|timeout| *timeout + work.expected_time <= left);
+        fitting.unwrap_or(left)
     }
 }
 
-/// Runs a stage to its output.
+/// Runs a stage to completion and returns its output.
+///
+/// # Errors
+///
+/// Returns the failure that ends the request.
 pub(crate) async fn run_stage(
     mut run: StageRun<'_>,
     evidence: &mut RequestEvidence,
@@ -160,64 +165,65 @@
             "no target of the service is known",
         ));
     };
-    let begun = run.now();
+    let started = run.now();
     let mut work = run.work(&pool);
-    let mut place = pool.place(work.clone()).await.map_err(refused)?;
+    let mut guard = pool.place(work.clone()).await.map_err(placement_failure)?;
     let mut attempt = 0;
     loop {
-        let waited = run.now().saturating_sub(begun);
-        // Looked at right before the send, so that a request that slept does not use an old claim.
+        let waited = run.now().saturating_sub(started);
+        // Checked immediately before the send, so that a suspended request doesn't use an old
+        // claim.
         let claimed = claim.as_mut().filter(|_| !run.spec.repeatable);
-        if claimed.is_some_and(|claim| !claim.use_now()) {
+        if claimed.is_some_and(|claim| !claim.try_mark_sent()) {
             return Err(failure(
                 ResultCode::ClaimUnavailable,
                 "the claim is too old to be used",
             ));
         }
-        let result = try_once(&mut run, &pool, &work, &place, attempt, evidence).await;
+        let result = run_attempt(&mut run, &pool, &work, &guard, attempt, evidence).await;
         attempt += 1;
-        let placement = place.placement().cloned();
-        let fault = match result {
-            Ok(answer) => {
-                place.finish(StageOutcome::Completed);
-                let record = make_record(&run, placement, &answer, attempt, waited);
-                return Ok((answer.output, record));
+        let placement = guard.placement().cloned();
+        let error = match result {
+            Ok(response) => {
+                guard.finish(StageOutcome::Completed);
+                let record = record_completion(&run, placement, &response, attempt, waited);
+                return Ok((response.output, record));
             }
-            Err(fault) => fault,
+            Err(error) => error,
         };
-        place.finish(outcome_of(fault));
-        if fault == TargetError::AttemptMismatch {
-            state.metrics.note(NodeEvent::OtherAttempt);
+        guard.finish(outcome_of(error));
+        if error == TargetError::AttemptMismatch {
+            state.metrics.record_event(NodeEvent::AttemptMismatch);
         }
-        if surely_not_run(fault) {
+        if is_known_not_run(error) {
             if let Some(claim) = claim.as_mut().filter(|_| !run.spec.repeatable) {
-                claim.unuse();
+                claim.unmark_sent();
             }
         }
-        if let (TargetError::Leaving, Some(placement)) = (fault, &placement) {
+        if let (TargetError::Leaving, Some(placement)) = (error, &placement) {
             state
                 .control
                 .signal_leaving(&run.spec.service, &placement.target);
         }
         work.tried
             .extend(placement.map(|placement| placement.target));
-        let next = next_place(&run, &pool, &work, fault, attempt).await;
-        place = next.ok_or_else(|| give_up(&run, fault))?;
-        state.metrics.note(NodeEvent::Retry);
+        let next = place_next_attempt(&run, &pool, &work, error, attempt).await;
+        guard = next.ok_or_else(|| final_failure(&run, error))?;
+        state.metrics.record_event(NodeEvent::Retry);
     }
 }
 
-/// Makes one try. The evidence counts it as sent before the first byte is written.
-async fn try_once(
+/// Makes one attempt. The evidence counts it as sent before the first byte is written.
+async fn run_attempt(
     run: &mut StageRun<'_>,
     pool: &StagePool,
     work: &StageWork,
-    place: &PlaceGuard,
+    guard: &PlacementGuard,
     attempt: u8,
     evidence: &mut RequestEvidence,
 ) -> Result<TargetResponse, TargetError> {
     let state = run.request.state.clone();
-    let target = place.placement().map(|placement| placement.target.clone());
+    let target = guard.placement().map(|placement| placement.target.clone());
     let address = target.and_then(|target| state.addresses.load().get(&target).copied());
     let Some(address) = address else {
         return Err(TargetError::NotSent);
@@ -228,31 +234,31 @@
         input: run.input.to_owned(),
         max_tokens: run.max_tokens(),
         resume_from: run.received,
-        limit: run.try_limit(pool, work),
+        limit: run.attempt_timeout(pool, work),
     };
     evidence.record_send();
     let result = if run.spec.kind == CallKind::Generate {
-        stream_once(run, address, &call).await
+        stream_attempt(run, address, &call).await
     } else {
         state.targets.run(address, &call).await
     };
     let known = match &result {
         Ok(_) => AttemptEvidence::Ran,
-        Err(fault) => fault.evidence(),
+        Err(error) => error.evidence(),
     };
     evidence.record_end(known);
     result
 }
 
-/// Reads a token stream and passes its tokens on.
-async fn stream_once(
+/// Reads a token stream and forwards its tokens.
+async fn stream_attempt(
     run: &mut StageRun<'_>,
     address: TargetAddress,
     call: &TargetCall,
 ) -> Result<TargetResponse, TargetError> {
     let state = run.request.state.clone();
     if call.resume_from > 0 {
-        state.metrics.note(NodeEvent::Resume);
+        state.metrics.record_event(NodeEvent::Resume);
     }
     let mut stream = state.targets.stream(address, call).await?;
     loop {
@@ -261,7 +267,7 @@
                 run.received = stream.received();
                 run.streamed.push_str(&token);
                 if let Some(tokens) = run.tokens {
-                    // The receiver lives as long as this future does.
+                    // The receiver outlives this future.
                     let _ = tokens.send(token).await;
                 }
             }
@@ -277,41 +283,41 @@
     }
 }
 
-/// Gets a target for a further try, if a try is safe, useful and within the budget.
-async fn next_place(
+/// Acquires a target for another attempt, if that is safe, useful and within the retry budget.
+async fn place_next_attempt(
     run: &StageRun<'_>,
     pool: &std::sync::Arc<StagePool>,
     work: &StageWork,
-    fault: TargetError,
+    error: TargetError,
     attempt: u8,
-) -> Option<PlaceGuard> {
-    if attempt >= TRY_LIMIT || run.now() >= run.request.budget.deadline() {
+) -> Option<PlacementGuard> {
+    if attempt >= MAX_ATTEMPTS || run.now() >= run.request.budget.deadline() {
         return None;
     }
-    let not_run = surely_not_run(fault);
+    let not_run = is_known_not_run(error);
     if !run.spec.repeatable && !not_run {
         return None;
     }
-    if let Some(place) = pool.place_retry(work) {
-        return Some(place);
+    if let Some(guard) = pool.place_retry(work) {
+        return Some(guard);
     }
-    // A call that never started costs its target nothing, so it may wait like a first one.
+    // A call that never started cost its target nothing, so it may queue like a first attempt.
     if not_run {
         return pool.place(work.clone()).await.ok();
     }
     None
 }
 
-/// Tells whether a call that failed so never started at its target.
-fn surely_not_run(fault: TargetError) -> bool {
+/// Returns whether the error proves that the call never started at its target.
+fn is_known_not_run(error: TargetError) -> bool {
     matches!(
-        fault.evidence(),
+        error.evidence(),
         AttemptEvidence::NotSent | AttemptEvidence::RefusedBeforeStart
     )
 }
 
-fn outcome_of(fault: TargetError) -> StageOutcome {
-    match fault {
+fn outcome_of(error: TargetError) -> StageOutcome {
+    match error {
         TargetError::Full => StageOutcome::RefusedFull,
         TargetError::Leaving => StageOutcome::Leaving,
         TargetError::Timeout => StageOutcome::TimedOut,
@@ -323,9 +329,9 @@
     }
 }
 
-/// Names the end of a request whose stage is not tried again.
-fn give_up(run: &StageRun<'_>, fault: TargetError) -> StageFailure {
-    let code = match fault {
+/// Returns the failure of a stage that isn't retried.
+fn final_failure(run: &StageRun<'_>, error: TargetError) -> StageFailure {
+    let code = match error {
         TargetError::NotSent | TargetError::Full | TargetError::Leaving => ResultCode::NoTarget,
         TargetError::Timeout if run.spec.repeatable => ResultCode::DeadlinePassed,
         TargetError::Failed if run.received > 0 => ResultCode::StreamBroken,
@@ -335,10 +341,10 @@
         TargetError::Disconnected | TargetError::Timeout => ResultCode::StageFailed,
         TargetError::AttemptMismatch | TargetError::Malformed => ResultCode::AnswerInvalid,
     };
-    failure(code, &format!("stage {}: {fault}", run.spec.name))
+    failure(code, &format!("stage {}: {error}", run.spec.name))
 }
 
-fn refused(refusal: PlaceRefusal) -> StageFailure {
+fn placement_failure(refusal: PlacementRefusal) -> StageFailure {
     StageFailure {
         code: refusal.code,
         message: "the stage was not started".to_owned(),
@@ -354,10 +360,10 @@
     }
 }
 
-fn make_record(
+fn record_completion(
     run: &StageRun<'_>,
     placement: Option<StagePlacement>,
-    answer: &TargetResponse,
+    response: &TargetResponse,
     attempts: u8,
     waited: Duration,
 ) -> StageRecord {
@@ -366,21 +372,21 @@
         .map_or(Moment::ZERO, |placement| placement.placed_at);
     let time = run.now().saturating_sub(placed_at);
     let metrics = &run.request.state.metrics;
-    metrics.note_stage(&run.spec.service, &run.spec.name, waited, time);
+    metrics.record_stage(&run.spec.service, &run.spec.name, waited, time);
     StageRecord {
         stage: run.spec.name.clone(),
         target: placement.map_or_else(String::new, |placement| placement.target.to_string()),
         attempts,
         wait_ms: waited.as_secs_f64() * 1000.0,
         run_ms: time.as_secs_f64() * 1000.0,
-        tokens: answer.tokens,
-        cached: answer.cached,
+        tokens: response.tokens,
+        cached: response.cached,
     }
 }
 
-/// Hashes the beginning of an input, where engines keep prefixes. Tokens of different accounts
-/// never share a hash in practice because each account's prompts begin with its own text; a
-/// collision would cost time only, never an answer.
+/// Hashes the prefix of an input, which engines cache. Different accounts share no hash in practice
+/// because each account's prompts begin with its own text. A collision would cost time, not
+/// correctness.
 fn prefix_hash(input: &str) -> u64 {
     use std::hash::Hash;
     use std::hash::Hasher;
--- a/packages/turnford-node/src/state.rs
+++ b/packages/turnford-node/src/state.rs
@@ -1,4 +1,4 @@
-//! What the threads of one node share.
+//! State that the threads of one node share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,10 +31,11 @@
 use crate::results::ResultCache;
 use crate::snapshot::ConfigSnapshot;
 
-/// Pools by service. The map is replaced when a service appears; the pools stay.
+/// Stage pools by service. The map is replaced when a service appears; the pools themselves
+/// persist.
 pub(crate) type PoolMap = HashMap<ServiceId, Arc<StagePool>>;
 
-/// Addresses of targets.
+/// Addresses by target.
 pub(crate) type AddressMap = HashMap<TargetId, SocketAddr>;
 
 /// Shared state of one node.
@@ -50,9 +51,9 @@
     pub(crate) targets: TargetClient,
     pub(crate) metrics: NodeMetrics,
     pub(crate) budget: Arc<CallBudget>,
-    /// Set once every lender answered, or was waited for long enough.
+    /// Set once every lender has replied or the wait for them has timed out.
     pub(crate) lenders_known: AtomicBool,
-    /// Set once configuration, targets and lenders are known.
+    /// Set once configuration and targets are known and `lenders_known` is set.
     pub(crate) ready: AtomicBool,
     pub(crate) draining: AtomicBool,
     pub(crate) running: AtomicU64,
@@ -62,13 +63,13 @@
     probes: Mutex<ProbeGate>,
 }
 
-/// A request's place within its account's limits; given back when dropped.
-pub(crate) struct AccountPlace {
+/// A request's concurrency permit within its account's limits; released on drop.
+pub(crate) struct AccountPermit {
     state: Arc<NodeState>,
     account: AccountId,
 }
 
-impl Drop for AccountPlace {
+impl Drop for AccountPermit {
     fn drop(&mut self) {
         if let Some(limit) = self.state.limits().get_mut(&self.account) {
             limit.finish();
@@ -76,7 +77,7 @@
     }
 }
 
-/// Counts a running request until dropped.
+/// Counts a request as running until dropped.
 pub(crate) struct RunningGuard(Arc<NodeState>);
 
 impl Drop for RunningGuard {
@@ -118,43 +119,48 @@
         }
     }
 
-    /// Returns the pool of a service if any target of it was ever listed.
+    /// Returns a service's pool, if any of its targets has ever been listed.
     pub(crate) fn pool(&self, service: &str) -> Option<Arc<StagePool>> {
         self.pools.load().get(service).cloned()
     }
 
-    /// Takes a place within an account's limits.
-    pub(crate) fn enter_account(
+    /// Acquires a permit within an account's limits.
+    ///
+    /// # Errors
+    ///
+    /// Returns the limit that is exhausted on this node.
+    pub(crate) fn acquire_permit(
         self: &Arc<Self>,
         account: &ClientAccount,
-    ) -> Result<AccountPlace, LimitRefusal> {
+    ) -> Result<AccountPermit, LimitRefusal> {
         let now = self.clock.now();
         let mut limits = self.limits();
-        // In a fleet nothing may be used before a share is there; the caller asks for one.
+        // In a fleet the limits are zero until this node has been granted a share; the caller
+        // requests one.
         let alone = self.settings.fleet_size <= 1;
         let rate = if alone { account.rate } else { 0.0 };
         let concurrency = if alone { account.concurrency } else { 0 };
         let fresh = || AccountLimit::new(now, rate, concurrency);
         let limit = limits.entry(account.name.clone()).or_insert_with(fresh);
         limit.start(now)?;
-        Ok(AccountPlace {
+        Ok(AccountPermit {
             state: self.clone(),
             account: account.name.clone(),
         })
     }
 
-    /// Counts a running request.
-    pub(crate) fn enter(self: &Arc<Self>) -> RunningGuard {
+    /// Counts a request as running until the guard is dropped.
+    pub(crate) fn track_running(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::SeqCst);
         RunningGuard(self.clone())
     }
 
-    /// Returns the gate for requests that measure anew.
+    /// Locks the gate for requests that are admitted to refresh outdated time estimates.
     pub(crate) fn probes(&self) -> MutexGuard<'_, ProbeGate> {
         self.probes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the limits of all accounts on this node.
+    /// Locks the limits of all accounts on this node.
     pub(crate) fn limits(&self) -> MutexGuard<'_, HashMap<AccountId, AccountLimit>> {
         self.limits.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/packages/turnford-node/src/status.rs
+++ b/packages/turnford-node/src/status.rs
@@ -1,4 +1,4 @@
-//! The node's own view, for operators.
+//! Status report for operators, as this node sees the fleet.
 
 use std::sync::atomic::Ordering;
 
@@ -13,7 +13,7 @@
 
 use crate::state::NodeState;
 
-/// Returns the status as JSON.
+/// Builds the JSON status response.
 pub(crate) fn node_status(state: &NodeState) -> HttpResponse {
     let config = state.config.load();
     let pools = state.pools.load();
--- a/packages/turnford-node/src/stream.rs
+++ b/packages/turnford-node/src/stream.rs
@@ -1,4 +1,4 @@
-//! Answers as server-sent events.
+//! Responses as server-sent events.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,34 +13,35 @@
 use turnford_policy::AttemptId;
 
 use crate::admit::AdmittedRequest;
-use crate::answer::RequestEnd;
+use crate::answer::RequestOutcome;
 use crate::runner::run_request;
 
-/// Tokens that may wait for a slow caller.
-const TOKEN_QUEUE: usize = 64;
+/// Capacity of the token queue between a request and a slow client.
+const TOKEN_QUEUE_CAPACITY: usize = 64;
 
-/// The request while its events are sent. Dropping it cancels the request.
+/// Source of a response's events. Dropping it cancels the request.
 struct EventSource {
-    run: Option<Pin<Box<dyn Future<Output = RequestEnd> + Send>>>,
+    run: Option<Pin<Box<dyn Future<Output = RequestOutcome> + Send>>>,
     tokens: Receiver<String>,
-    end: Option<RequestEnd>,
+    outcome: Option<RequestOutcome>,
     trace: AttemptId,
 }
 
-/// What comes next.
+/// Next event of a stream.
 enum EventStep {
     Token(String),
-    End(RequestEnd),
+    End(RequestOutcome),
 }
 
-/// Runs a request as the body of its answer: an event a token, and a last event with the code.
+/// Runs a request as the body of its response: one event per token and a final event with the
+/// result code.
 pub(crate) fn stream_request(request: AdmittedRequest) -> HttpResponse {
-    let (sender, tokens) = async_channel::bounded(TOKEN_QUEUE);
+    let (sender, tokens) = async_channel::bounded(TOKEN_QUEUE_CAPACITY);
     let trace = request.trace;
     let source = EventSource {
         run: Some(Box::pin(run_request(request, Some(sender)))),
         tokens,
-        end: None,
+        outcome: None,
         trace,
     };
     let events = unfold(source, |mut source| async move {
@@ -56,7 +57,7 @@
 
 impl EventSource {
     async fn next_event(&mut self) -> Option<Vec<u8>> {
-        if self.run.is_none() && self.end.is_none() {
+        if self.run.is_none() && self.outcome.is_none() {
             return None;
         }
         if let Some(run) = self.run.as_mut() {
@@ -67,21 +68,21 @@
                     Err(_) => futures_lite::future::pending().await,
                 }
             };
-            let end = async { EventStep::End(run.await) };
-            match token.or(end).await {
+            let outcome = async { EventStep::End(run.await) };
+            match token.or(outcome).await {
                 EventStep::Token(token) => return Some(token_event(&token)),
-                EventStep::End(end) => {
+                EventStep::End(outcome) => {
                     self.run = None;
-                    self.end = Some(end);
+                    self.outcome = Some(outcome);
                 }
             }
         }
         if let Ok(token) = self.tokens.try_recv() {
             return Some(token_event(&token));
         }
-        let end = self.end.take()?;
+        let outcome = self.outcome.take()?;
         let mut event = b"event: end\ndata: ".to_vec();
-        event.extend(end.json(self.trace, false));
+        event.extend(outcome.json(self.trace, false));
         event.extend(b"\n\n");
         Some(event)
     }
