--- a/packages/turnford-node/src/admit.rs
+++ b/packages/turnford-node/src/admit.rs
@@ -20,9 +20,9 @@
 use turnford_policy::ResultCode;
 use turnford_policy::StageDemand;
 
-use crate::answer::RequestOutcome;
-use crate::place::StagePool;
+use crate::outcome::RequestOutcome;
 use crate::snapshot::ConfigSnapshot;
+use crate::stage_pool::StagePool;
 use crate::state::AccountPermit;
 use crate::state::NodeState;
 use crate::state::RunningGuard;
--- a/packages/turnford-node/src/claim.rs
+++ b/packages/turnford-node/src/claim.rs
@@ -18,7 +18,7 @@
 use turnford_policy::ResultCode;
 
 use crate::admit::AdmittedRequest;
-use crate::answer::RequestOutcome;
+use crate::outcome::RequestOutcome;
 use crate::state::NodeState;
 
 /// Longest wait for a claim's verdict.
--- a/packages/turnford-node/src/control/targets.rs
+++ b/packages/turnford-node/src/control/targets.rs
@@ -19,7 +19,7 @@
 use super::rumors::publish_rumors;
 use super::update_ready;
 use crate::inbox::LeavingSignal;
-use crate::place::StagePool;
+use crate::stage_pool::StagePool;
 use crate::state::AddressMap;
 use crate::state::NodeState;
 use crate::state::PoolMap;
--- a/packages/turnford-node/src/entry.rs
+++ b/packages/turnford-node/src/handler.rs
@@ -12,7 +12,7 @@
 use crate::admit::admit_request;
 use crate::admit::find_request_account;
 use crate::admit::AdmittedRequest;
-use crate::answer::RequestOutcome;
+use crate::outcome::RequestOutcome;
 use crate::runner::run_request;
 use crate::state::NodeState;
 use crate::status::node_status;
--- a/packages/turnford-node/src/lib.rs
+++ b/packages/turnford-node/src/lib.rs
@@ -5,18 +5,18 @@
 //! don't block on the control state.
 
 mod admit;
-mod answer;
 mod claim;
 mod control;
-mod entry;
+mod handler;
 mod inbox;
 mod metrics;
 mod node;
-mod place;
+mod outcome;
 mod results;
 mod runner;
 mod snapshot;
 mod stage;
+mod stage_pool;
 mod state;
 mod status;
 mod stream;
--- a/packages/turnford-node/src/node.rs
+++ b/packages/turnford-node/src/node.rs
@@ -21,7 +21,7 @@
 
 use crate::control::dispatch_pools;
 use crate::control::run_control;
-use crate::entry::handle_request;
+use crate::handler::handle_request;
 use crate::inbox::control_channel;
 use crate::state::NodeState;
 
--- a/packages/turnford-node/src/runner.rs
+++ b/packages/turnford-node/src/runner.rs
@@ -5,10 +5,10 @@
 use turnford_policy::ResultCode;
 
 use crate::admit::AdmittedRequest;
-use crate::answer::RequestOutcome;
-use crate::answer::StageRecord;
 use crate::claim::acquire_claim;
 use crate::metrics::NodeEvent;
+use crate::outcome::RequestOutcome;
+use crate::outcome::StageRecord;
 use crate::stage::run_stage;
 use crate::stage::StageFailure;
 use crate::stage::StageRun;
--- a/packages/turnford-node/src/stage.rs
+++ b/packages/turnford-node/src/stage.rs
@@ -20,12 +20,12 @@
 
 use crate::admit::stage_length;
 use crate::admit::AdmittedRequest;
-use crate::answer::StageRecord;
 use crate::claim::ClaimGuard;
 use crate::metrics::NodeEvent;
-use crate::place::PlacementGuard;
-use crate::place::PlacementRefusal;
-use crate::place::StagePool;
+use crate::outcome::StageRecord;
+use crate::stage_pool::PlacementGuard;
+use crate::stage_pool::PlacementRefusal;
+use crate::stage_pool::StagePool;
 
 /// Maximum number of attempts of one stage.
 const MAX_ATTEMPTS: u8 = 4;
--- a/packages/turnford-node/src/state.rs
+++ b/packages/turnford-node/src/state.rs
@@ -27,9 +27,9 @@
 
 use crate::inbox::ControlOutbox;
 use crate::metrics::NodeMetrics;
-use crate::place::StagePool;
 use crate::results::ResultCache;
 use crate::snapshot::ConfigSnapshot;
+use crate::stage_pool::StagePool;
 
 /// Stage pools by service. The map is replaced when a service appears; the pools themselves
 /// persist.
--- a/packages/turnford-node/src/stream.rs
+++ b/packages/turnford-node/src/stream.rs
@@ -13,7 +13,7 @@
 use turnford_policy::AttemptId;
 
 use crate::admit::AdmittedRequest;
-use crate::answer::RequestOutcome;
+use crate::outcome::RequestOutcome;
 use crate::runner::run_request;
 
 /// Capacity of the token queue between a request and a slow client.
