--- a/packages/turnford-config/src/account.rs
+++ b/packages/turnford-config/src/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts and their parameters for templates.
+//! Client accounts and their template parameters.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,63 +9,63 @@
 
 use crate::reader::read_file;
 use crate::reader::TableReader;
-use crate::template::LONGEST_DEADLINE_MS;
+use crate::template::MAX_DEADLINE_MS;
 use crate::ConfigError;
 use crate::LOWEST_CLASS;
 
-/// Length of a hashed key in hexadecimal digits.
-const HASH_DIGITS: usize = 64;
+/// Length of a hashed API key, in hexadecimal digits.
+const HASH_LEN: usize = 64;
 
-/// Tokens generated unless the account's parameters say otherwise.
-const DEFAULT_TOKENS: i64 = 64;
+/// Default for [`TemplateParameters::max_tokens`].
+const DEFAULT_MAX_TOKENS: i64 = 64;
 
-/// Most tokens one call may generate.
-const TOKEN_LIMIT: i64 = 100_000;
+/// Upper bound of [`TemplateParameters::max_tokens`].
+const MAX_TOKENS_LIMIT: i64 = 100_000;
 
 /// One account's parameters for one template.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TemplateParameters {
-    /// Deadline of this account, shorter or longer than the template's.
+    /// Deadline that replaces the template's; it may be shorter or longer.
     pub deadline: Option<Duration>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens that a call may generate.
     pub max_tokens: u32,
 }
 
-/// A member that sends requests.
+/// Account of a customer that sends requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientAccount {
     /// Name.
     pub name: Arc<str>,
-    /// SHA-256 of the key in lower-case hexadecimal; the key itself is never stored.
+    /// SHA-256 hash of the API key in lower-case hexadecimal. The key itself is never stored.
     pub key_sha256: String,
-    /// Class rank, 0 first.
+    /// Class rank; 0 is served first.
     pub class: u8,
-    /// Share inside the class; 1 is usual.
+    /// Weight of the account's share within its class; 1 is the default.
     pub share: f64,
-    /// Requests a second over the whole fleet.
+    /// Maximum request rate over the whole fleet, in requests per second.
     pub rate: f64,
-    /// Requests at a time over the whole fleet.
+    /// Maximum number of concurrent requests over the whole fleet.
     pub concurrency: u32,
-    /// Longest input in bytes.
+    /// Maximum size of an input, in bytes.
     pub max_input_bytes: usize,
-    /// Weight of cost against attainment, from 0 to 1.
+    /// Weight of cost relative to deadline attainment, from 0 to 1.
     pub cost_weight: f64,
-    /// Templates that the account may use.
+    /// Templates that the account may use, with its parameters for each.
     pub templates: BTreeMap<String, TemplateParameters>,
 }
 
 impl ClientAccount {
-    /// Reads an account file.
+    /// Parses an account file.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the file.
+    /// Returns all errors in the file.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         read_file(file, text, read_account)
     }
 }
 
-/// Hashes an account key as account files store it.
+/// Hashes an API key for comparison with [`ClientAccount::key_sha256`].
 pub fn hash_api_key(key: &str) -> String {
     let digest = Sha256::digest(key.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -82,7 +82,7 @@
     let cost_weight = reader.number_or("cost_weight", 0.0..=1.0, 0.0);
     let templates = reader.named_tables("templates", read_parameters);
     if templates.is_empty() {
-        reader.problem("templates", "none", "at least one [templates.NAME] table");
+        reader.add_error("templates", "none", "at least one [templates.NAME] table");
     }
     Some(ClientAccount {
         name: Arc::from(name?),
@@ -102,11 +102,11 @@
     let digits = hash
         .bytes()
         .all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte));
-    if digits && hash.len() == HASH_DIGITS {
+    if digits && hash.len() == HASH_LEN {
         return Some(hash);
     }
     let found = format!("{} characters", hash.chars().count());
-    reader.problem(
+    reader.add_error(
         "key_sha256",
         found,
         "64 digits of 0-9 and a-f, the SHA-256 of the key",
@@ -116,12 +116,13 @@
 
 fn read_parameters(reader: &TableReader<'_>) -> Option<TemplateParameters> {
     let deadline = if reader.has("deadline_ms") {
-        let millis = reader.integer("deadline_ms", 1..=LONGEST_DEADLINE_MS)?;
+        let millis = reader.integer("deadline_ms", 1..=MAX_DEADLINE_MS)?;
         Some(Duration::from_millis(millis as u64))
     } else {
         None
     };
-    let max_tokens = reader.integer_or("max_tokens", 1..=TOKEN_LIMIT, DEFAULT_TOKENS) as u32;
+    let max_tokens =
+        reader.integer_or("max_tokens", 1..=MAX_TOKENS_LIMIT, DEFAULT_MAX_TOKENS) as u32;
     Some(TemplateParameters {
         deadline,
         max_tokens,
--- a/packages/turnford-config/src/lib.rs
+++ b/packages/turnford-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of a node, pipeline templates and client accounts: types, parsing and checks.
+//! Node settings, pipeline templates and client accounts: types, parsing and validation.
 //!
-//! A file is checked as a whole: every problem is reported at once, each with its place, field,
-//! what was found and what is allowed. Nothing here does I/O.
+//! A file is validated as a whole: all errors are reported at once, each with its location, its
+//! field, the value found and the values allowed. The crate does no I/O.
 
 mod account;
 mod object;
@@ -26,5 +26,5 @@
 pub use template::PipelineTemplate;
 pub use template::StageSpec;
 
-/// Highest class rank; rank 0 is served first.
+/// Highest class rank, which has the lowest priority. Rank 0 is served first.
 pub const LOWEST_CLASS: u8 = 3;
--- a/packages/turnford-config/src/object.rs
+++ b/packages/turnford-config/src/object.rs
@@ -1,4 +1,4 @@
-//! Objects of configuration as the platform's object API holds them.
+//! Configuration objects, as stored in the platform's object API.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use crate::ConfigError;
 use crate::PipelineTemplate;
 
-/// Kind of a configuration object; also the folder of its key.
+/// Kind of a configuration object, which is also a segment of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObjectKind {
     /// A pipeline template.
@@ -16,13 +16,13 @@
 }
 
 impl ObjectKind {
-    /// Words of keys and of the command line.
+    /// Names in keys and on the command line.
     pub const NAMES: [(&'static str, ObjectKind); 2] = [
         ("template", ObjectKind::Template),
         ("account", ObjectKind::Account),
     ];
 
-    /// Returns the word.
+    /// Returns the kind's name.
     pub fn as_str(self) -> &'static str {
         match self {
             ObjectKind::Template => "template",
@@ -35,10 +35,10 @@
         format!("config/{}/{name}", self.as_str())
     }
 
-    /// Returns the kind and name of a key.
+    /// Splits a key into the object's kind and name. Returns `None` for other keys.
     pub fn split_key(key: &str) -> Option<(ObjectKind, &str)> {
-        let (word, name) = key.strip_prefix("config/")?.split_once('/')?;
-        let found = Self::NAMES.iter().find(|(known, _)| *known == word);
+        let (kind, name) = key.strip_prefix("config/")?.split_once('/')?;
+        let found = Self::NAMES.iter().find(|(known, _)| *known == kind);
         found.map(|(_, kind)| (*kind, name))
     }
 }
@@ -59,11 +59,11 @@
 }
 
 impl ConfigObject {
-    /// Reads a file of either kind; a file with `stages` is a template.
+    /// Parses a file of either kind; a file with a `stages` field is a template.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the file.
+    /// Returns all errors in the file.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         let is_template = has_field(text, "stages");
         let kind = if is_template {
@@ -74,11 +74,11 @@
         Self::parse_kind(kind, file, text)
     }
 
-    /// Reads a file of a known kind.
+    /// Parses a file of a known kind.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the file.
+    /// Returns all errors in the file.
     pub fn parse_kind(kind: ObjectKind, file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         match kind {
             ObjectKind::Template => PipelineTemplate::parse(file, text).map(ConfigObject::Template),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Tells whether a text looks like a node's settings rather than a configuration object.
+    /// Returns whether a text appears to be node settings rather than a configuration object.
     pub fn is_node_settings(text: &str) -> bool {
         has_field(text, "listen") || has_field(text, "inner")
     }
@@ -103,7 +103,7 @@
     }
 }
 
-/// Tells whether a text has a field at its top, as far as it can be read at all.
+/// Returns whether a text has a top-level field, as far as the text can be parsed.
 fn has_field(text: &str, field: &str) -> bool {
     let (table, _) = toml::de::DeTable::parse_recoverable(text);
     table.get_ref().contains_key(field)
--- a/packages/turnford-config/src/problem.rs
+++ b/packages/turnford-config/src/problem.rs
@@ -1,19 +1,19 @@
-//! One problem in a file, with all that is needed to mend it.
+//! A validation error, with the information needed to fix it.
 
 use std::fmt;
 
-/// A problem found by a check.
+/// A validation error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// File as the operator named it.
+    /// File name, as given by the operator.
     pub file: String,
-    /// Line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
     /// Path of the field, for example `stages[1].quantile`.
     pub field: String,
-    /// What stands there.
+    /// Description of the value found.
     pub found: String,
-    /// What is allowed.
+    /// Description of the values allowed.
     pub allowed: String,
 }
 
--- a/packages/turnford-config/src/reader.rs
+++ b/packages/turnford-config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads TOML tables field by field and collects every problem.
+//! Reads TOML tables field by field and collects all errors.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -14,28 +14,28 @@
 
 use crate::ConfigError;
 
-/// Longest name of anything.
-const NAME_LIMIT: usize = 64;
+/// Maximum length of a name, in bytes.
+const MAX_NAME_LEN: usize = 64;
 
-/// What is allowed for a name.
+/// Description of a valid name.
 const NAME_RULE: &str = "1 to 64 characters of a-z, 0-9, '-' and '.', no '.' first";
 
-/// Problems of one file, shared by the readers of its tables.
-struct ProblemLog {
+/// Errors in one file, shared by the readers of its tables.
+struct ErrorLog {
     file: String,
     text: String,
-    problems: RefCell<Vec<ConfigError>>,
+    errors: RefCell<Vec<ConfigError>>,
 }
 
-impl ProblemLog {
-    fn add(&self, at: &Range<usize>, field: &str, found: impl Display, allowed: impl Display) {
-        let start = at.start.min(self.text.len());
+impl ErrorLog {
+    fn add(&self, span: &Range<usize>, field: &str, found: impl Display, allowed: impl Display) {
+        let start = span.start.min(self.text.len());
         let line = self.text.as_bytes()[..start]
             .iter()
             .filter(|byte| **byte == b'\n')
             .count()
             + 1;
-        self.problems.borrow_mut().push(ConfigError {
+        self.errors.borrow_mut().push(ConfigError {
             file: self.file.clone(),
             line,
             field: field.to_owned(),
@@ -45,80 +45,80 @@
     }
 }
 
-/// Reader of one table. Fields that were never asked for are problems at [`TableReader::finish`].
+/// Reader of one table. [`TableReader::finish`] reports fields that were never requested as errors.
 pub(crate) struct TableReader<'a> {
-    log: Rc<ProblemLog>,
+    log: Rc<ErrorLog>,
     table: &'a DeTable<'a>,
-    place: Range<usize>,
+    span: Range<usize>,
     path: String,
-    asked: RefCell<BTreeSet<String>>,
+    requested: RefCell<BTreeSet<String>>,
 }
 
-/// Parses a file and reads its top table.
+/// Parses a file and reads its root table.
 ///
 /// # Errors
 ///
-/// Returns all problems in the order of their lines.
+/// Returns all errors, sorted by line.
 pub(crate) fn read_file<T>(
     file: &str,
     text: &str,
     read: impl FnOnce(&TableReader<'_>) -> Option<T>,
 ) -> Result<T, Vec<ConfigError>> {
-    let log = Rc::new(ProblemLog {
+    let log = Rc::new(ErrorLog {
         file: file.to_owned(),
         text: text.to_owned(),
-        problems: RefCell::new(Vec::new()),
+        errors: RefCell::new(Vec::new()),
     });
-    let (table, errors) = DeTable::parse_recoverable(text);
-    for error in &errors {
-        let place = error.span().unwrap_or(0..0);
-        log.add(&place, "(syntax)", error.message().trim(), "TOML");
+    let (table, syntax_errors) = DeTable::parse_recoverable(text);
+    for error in &syntax_errors {
+        let span = error.span().unwrap_or(0..0);
+        log.add(&span, "(syntax)", error.message().trim(), "TOML");
     }
     let mut value = None;
-    if errors.is_empty() {
+    if syntax_errors.is_empty() {
         let reader = TableReader::new(log.clone(), table.get_ref(), 0..0, String::new());
         value = read(&reader);
         reader.finish();
     }
-    let mut problems = log.problems.borrow().clone();
-    problems.sort_by(|left, right| (left.line, &left.field).cmp(&(right.line, &right.field)));
+    let mut errors = log.errors.borrow().clone();
+    errors.sort_by(|left, right| (left.line, &left.field).cmp(&(right.line, &right.field)));
     match value {
-        Some(value) if problems.is_empty() => Ok(value),
-        _ => Err(problems),
+        Some(value) if errors.is_empty() => Ok(value),
+        _ => Err(errors),
     }
 }
 
 impl<'a> TableReader<'a> {
-    fn new(log: Rc<ProblemLog>, table: &'a DeTable<'a>, place: Range<usize>, path: String) -> Self {
-        let asked = RefCell::new(BTreeSet::new());
+    fn new(log: Rc<ErrorLog>, table: &'a DeTable<'a>, span: Range<usize>, path: String) -> Self {
+        let requested = RefCell::new(BTreeSet::new());
         Self {
             log,
             table,
-            place,
+            span,
             path,
-            asked,
+            requested,
         }
     }
 
-    /// Adds a problem at a field that stands in the table, or at the table itself.
-    pub(crate) fn problem(&self, field: &str, found: impl Display, allowed: impl Display) {
-        let place = self.place_of(field);
-        self.log.add(&place, &self.path_of(field), found, allowed);
+    /// Adds an error at a field of the table, or at the table itself if the field is absent.
+    pub(crate) fn add_error(&self, field: &str, found: impl Display, allowed: impl Display) {
+        let span = self.span_of(field);
+        self.log.add(&span, &self.path_of(field), found, allowed);
     }
 
-    /// Tells whether a field stands in the table.
+    /// Returns whether the table has a field.
     pub(crate) fn has(&self, field: &str) -> bool {
-        self.asked.borrow_mut().insert(field.to_owned());
+        self.requested.borrow_mut().insert(field.to_owned());
         self.table.contains_key(field)
     }
 
-    /// Reads a text.
+    /// Reads a string.
     pub(crate) fn text(&self, field: &str) -> Option<String> {
         let value = self.required(field, "a text")?;
         self.as_text(field, value)
     }
 
-    /// Reads a text that may be absent.
+    /// Reads an optional string.
     pub(crate) fn optional_text(&self, field: &str) -> Option<String> {
         let value = self.value(field)?;
         self.as_text(field, value)
@@ -130,11 +130,11 @@
         if is_name(&name) {
             return Some(name);
         }
-        self.problem(field, format!("{name:?}"), NAME_RULE);
+        self.add_error(field, format!("{name:?}"), NAME_RULE);
         None
     }
 
-    /// Reads a whole number within a range.
+    /// Reads an integer within a range.
     pub(crate) fn integer(&self, field: &str, range: RangeInclusive<i64>) -> Option<i64> {
         let allowed = format!("a whole number from {} to {}", range.start(), range.end());
         let value = self.required(field, &allowed)?;
@@ -145,13 +145,13 @@
         match number {
             Some(number) if range.contains(&number) => Some(number),
             _ => {
-                self.problem(field, describe(value.get_ref()), allowed);
+                self.add_error(field, describe(value.get_ref()), allowed);
                 None
             }
         }
     }
 
-    /// Reads a whole number, or takes a default if it is absent.
+    /// Reads an integer within a range, or returns the default if it is absent or invalid.
     pub(crate) fn integer_or(&self, field: &str, range: RangeInclusive<i64>, default: i64) -> i64 {
         if !self.has(field) {
             return default;
@@ -159,7 +159,7 @@
         self.integer(field, range).unwrap_or(default)
     }
 
-    /// Reads a number within a range, or takes a default if it is absent.
+    /// Reads a number within a range, or returns the default if it is absent or invalid.
     pub(crate) fn number_or(&self, field: &str, range: RangeInclusive<f64>, default: f64) -> f64 {
         let Some(value) = self.value(field) else {
             return default;
@@ -173,40 +173,40 @@
             Ok(number) if range.contains(&number) => number,
             _ => {
                 let allowed = format!("a number from {} to {}", range.start(), range.end());
-                self.problem(field, describe(value.get_ref()), allowed);
+                self.add_error(field, describe(value.get_ref()), allowed);
                 default
             }
         }
     }
 
-    /// Reads true or false, or takes a default if it is absent.
+    /// Reads a boolean, or returns the default if it is absent or invalid.
     pub(crate) fn flag_or(&self, field: &str, default: bool) -> bool {
         let Some(value) = self.value(field) else {
             return default;
         };
         value.get_ref().as_bool().unwrap_or_else(|| {
-            self.problem(field, describe(value.get_ref()), "true or false");
+            self.add_error(field, describe(value.get_ref()), "true or false");
             default
         })
     }
 
-    /// Reads a text that a type understands, for example an address.
+    /// Reads a string and parses it, for example as an address.
     pub(crate) fn parsed<T: FromStr>(&self, field: &str, allowed: &str) -> Option<T> {
         let text = self.text(field)?;
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            self.problem(field, format!("{text:?}"), allowed);
+            self.add_error(field, format!("{text:?}"), allowed);
         }
         parsed
     }
 
-    /// Reads a list of texts that a type understands; absent means empty.
+    /// Reads a list of strings and parses each; an absent list is empty.
     pub(crate) fn parsed_list<T: FromStr>(&self, field: &str, allowed: &str) -> Vec<T> {
         let Some(value) = self.value(field) else {
             return Vec::new();
         };
         let Some(list) = value.get_ref().as_array() else {
-            self.problem(
+            self.add_error(
                 field,
                 describe(value.get_ref()),
                 format!("a list, each {allowed}"),
@@ -227,13 +227,13 @@
         parsed
     }
 
-    /// Reads one of some words.
-    pub(crate) fn word<T: Copy>(&self, field: &str, words: &[(&str, T)]) -> Option<T> {
+    /// Reads a string that must be one of several names.
+    pub(crate) fn choice<T: Copy>(&self, field: &str, names: &[(&str, T)]) -> Option<T> {
         let text = self.text(field)?;
-        let found = words.iter().find(|(word, _)| *word == text);
+        let found = names.iter().find(|(name, _)| *name == text);
         if found.is_none() {
-            let known: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-            self.problem(
+            let known: Vec<&str> = names.iter().map(|(name, _)| *name).collect();
+            self.add_error(
                 field,
                 format!("{text:?}"),
                 format!("one of {}", known.join(", ")),
@@ -242,7 +242,7 @@
         found.map(|(_, value)| *value)
     }
 
-    /// Reads each table of a list.
+    /// Reads each table of an array of tables.
     pub(crate) fn tables<T>(
         &self,
         field: &str,
@@ -252,7 +252,7 @@
             return Vec::new();
         };
         let Some(list) = value.get_ref().as_array() else {
-            self.problem(field, describe(value.get_ref()), "a list of tables");
+            self.add_error(field, describe(value.get_ref()), "a list of tables");
             return Vec::new();
         };
         let mut found = Vec::new();
@@ -263,7 +263,7 @@
         found
     }
 
-    /// Reads each named table inside a table; absent means none.
+    /// Reads each named subtable of a table; an absent table has none.
     pub(crate) fn named_tables<T>(
         &self,
         field: &str,
@@ -273,7 +273,7 @@
             return Vec::new();
         };
         let Some(table) = value.get_ref().as_table() else {
-            self.problem(field, describe(value.get_ref()), "a table of tables");
+            self.add_error(field, describe(value.get_ref()), "a table of tables");
             return Vec::new();
         };
         let mut found = Vec::new();
@@ -294,7 +294,7 @@
         found
     }
 
-    /// Reads a table inside this one; absent means `None`.
+    /// Reads an optional subtable.
     pub(crate) fn table<T>(
         &self,
         field: &str,
@@ -321,12 +321,12 @@
         value
     }
 
-    /// Reports each field that nobody asked for.
+    /// Reports each field that was never requested.
     fn finish(&self) {
-        let asked = self.asked.borrow();
-        let known: Vec<&str> = asked.iter().map(String::as_str).collect();
+        let requested = self.requested.borrow();
+        let known: Vec<&str> = requested.iter().map(String::as_str).collect();
         for (name, _) in self.table {
-            if !asked.contains(name.get_ref().as_ref()) {
+            if !requested.contains(name.get_ref().as_ref()) {
                 let path = self.path_of(name.get_ref());
                 let allowed = format!("one of the fields {}", known.join(", "));
                 self.log
@@ -336,14 +336,14 @@
     }
 
     fn value(&self, field: &str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.asked.borrow_mut().insert(field.to_owned());
+        self.requested.borrow_mut().insert(field.to_owned());
         self.table.get(field)
     }
 
     fn required(&self, field: &str, allowed: &str) -> Option<&'a Spanned<DeValue<'a>>> {
         let value = self.value(field);
         if value.is_none() {
-            self.problem(field, "nothing", allowed);
+            self.add_error(field, "nothing", allowed);
         }
         value
     }
@@ -351,14 +351,14 @@
     fn as_text(&self, field: &str, value: &Spanned<DeValue<'_>>) -> Option<String> {
         let text = value.get_ref().as_str().map(str::to_owned);
         if text.is_none() {
-            self.problem(field, describe(value.get_ref()), "a text");
+            self.add_error(field, describe(value.get_ref()), "a text");
         }
         text
     }
 
-    fn place_of(&self, field: &str) -> Range<usize> {
+    fn span_of(&self, field: &str) -> Range<usize> {
         let found = self.table.get_key_value(field);
-        found.map_or(self.place.clone(), |(name, _)| name.span())
+        found.map_or(self.span.clone(), |(name, _)| name.span())
     }
 
     fn path_of(&self, field: &str) -> String {
@@ -369,13 +369,13 @@
     }
 }
 
-/// Tells whether a text may name a template, account, service, hall or target.
+/// Returns whether a text is a valid name of a template, account, service, hall or target.
 fn is_name(text: &str) -> bool {
     let allowed = |byte: u8| {
         byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-' || byte == b'.'
     };
     !text.is_empty()
-        && text.len() <= NAME_LIMIT
+        && text.len() <= MAX_NAME_LEN
         && !text.starts_with('.')
         && text.bytes().all(allowed)
 }
--- a/packages/turnford-config/src/serve.rs
+++ b/packages/turnford-config/src/serve.rs
@@ -1,4 +1,4 @@
-//! Settings of a node that serves routes from the platform's configuration.
+//! Settings of a node that serves the routes in the platform's configuration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,22 +11,23 @@
 use crate::LogLevel;
 use crate::LogSettings;
 
-/// What an address looks like.
+/// Description of a valid address.
 const ADDRESS: &str = "an IP number and port, as 127.0.0.1:7000";
 
-/// Repeats of a service in a window, over the whole fleet.
+/// Retry budget of a service in a sliding window, over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetrySettings {
     /// Length of the sliding window.
     pub window: Duration,
-    /// Repeats per request of the service.
+    /// Retries allowed per request to the service.
     pub ratio: f64,
-    /// Repeats beside that.
+    /// Retries allowed per window in addition to the ratio.
     pub slack: f64,
 }
 
 impl Default for RetrySettings {
-    /// A tenth of the traffic and a few more, as for the own interface.
+    /// Returns a budget of a tenth of the requests plus ten, as nodes of the pipeline interface
+    /// use.
     fn default() -> Self {
         Self {
             window: Duration::from_secs(10),
@@ -36,49 +37,51 @@
     }
 }
 
-/// Settings of one node that serves routes, from its file.
+/// Settings of one node that serves routes, as read from its settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServeSettings {
     /// Name, unique in the fleet.
     pub name: Arc<str>,
-    /// Hall that the VM stands in.
+    /// Hall that the VM is in.
     pub hall: Arc<str>,
     /// Region that the hall is in.
     pub region: Arc<str>,
     /// Address for clients.
     pub listen: SocketAddr,
-    /// Address where the platform asks whether the node takes requests.
+    /// Address of the platform's readiness checks.
     pub ready: SocketAddr,
-    /// Address for other nodes' news of the fleet.
+    /// Address for the control traffic of other nodes.
     pub inner: SocketAddr,
-    /// Address for work that other nodes hand over.
+    /// Address for work that other nodes forward to this one.
     pub work: SocketAddr,
-    /// Address of metrics and status.
+    /// Address that serves metrics and status.
     pub metrics: SocketAddr,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Addresses of other nodes to ask while the store is away; may be empty or out of date.
+    /// Addresses of other nodes to contact while the store is unavailable; may be empty or out of
+    /// date.
     pub peers: Vec<SocketAddr>,
-    /// Time from the order to stop until the process is ended.
+    /// Time from the stop signal until the process is killed.
     pub stop_grace: Duration,
-    /// Repeats that a service may get.
+    /// Retry budget of each service.
     pub retries: RetrySettings,
-    /// Log lines.
+    /// Logging.
     pub log: LogSettings,
 }
 
 impl ServeSettings {
-    /// Tells whether a text is meant as such settings: only they name a store.
+    /// Returns whether a text appears to be settings of this kind: only they have a `store` or
+    /// `work` field.
     pub fn is_serve_settings(text: &str) -> bool {
         let mut lines = text.lines().map(str::trim_start);
         lines.any(|line| line.starts_with("store") || line.starts_with("work"))
     }
 
-    /// Reads a settings file.
+    /// Parses a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the file.
+    /// Returns all errors in the file.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         read_file(file, text, read_settings)
     }
@@ -96,7 +99,7 @@
     let store = reader.parsed("store", ADDRESS);
     let peers = reader.parsed_list("peers", ADDRESS);
     let stop_grace = reader.number_or("stop_grace_s", 0.0..=3600.0, 8.0);
-    let retries = reader.table("repeats", read_repeats);
+    let retries = reader.table("repeats", read_retries);
     let log = reader.table("log", read_log);
     Some(ServeSettings {
         name: Arc::from(name?),
@@ -118,7 +121,7 @@
     })
 }
 
-fn read_repeats(reader: &TableReader<'_>) -> Option<RetrySettings> {
+fn read_retries(reader: &TableReader<'_>) -> Option<RetrySettings> {
     let default = RetrySettings::default();
     let window = reader.number_or("window_s", 0.1..=3600.0, default.window.as_secs_f64());
     let ratio = reader.number_or("ratio", 0.0..=10.0, default.ratio);
--- a/packages/turnford-config/src/settings.rs
+++ b/packages/turnford-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one node.
+//! Settings of a node that runs pipelines.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,49 +9,49 @@
 use crate::reader::TableReader;
 use crate::ConfigError;
 
-/// Traffic threads unless the settings say otherwise.
+/// Default for [`NodeSettings::threads`].
 const DEFAULT_THREADS: i64 = 2;
 
-/// Where log lines go and from what level.
+/// Destination and level of log lines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogSettings {
-    /// Lowest level that is written.
+    /// Least severe level that is written.
     pub level: LogLevel,
-    /// File; standard error if absent.
+    /// Log file; `None` for standard error.
     pub file: Option<PathBuf>,
 }
 
-/// Lowest level of log lines that is written.
+/// Least severe level of log lines that is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Failures only.
+    /// Errors only.
     Error,
-    /// Also what an operator should look at.
+    /// Also conditions that an operator should look into.
     Warn,
-    /// Also changes of state and one line a request.
+    /// Also state changes and one line per request.
     Info,
     /// Also details.
     Debug,
 }
 
-/// Words of the settings file for log levels.
-const LEVEL_WORDS: [(&str, LogLevel); 4] = [
+/// Names of the log levels in settings files.
+const LEVEL_NAMES: [(&str, LogLevel); 4] = [
     ("error", LogLevel::Error),
     ("warn", LogLevel::Warn),
     ("info", LogLevel::Info),
     ("debug", LogLevel::Debug),
 ];
 
-/// Settings of one node, from its file.
+/// Settings of one node, as read from its settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Name, unique in the fleet.
     pub name: Arc<str>,
-    /// Hall that the VM stands in.
+    /// Hall that the VM is in.
     pub hall: Arc<str>,
     /// Region that the hall is in.
     pub region: Arc<str>,
-    /// Address for callers.
+    /// Address for clients.
     pub listen: SocketAddr,
     /// Address for the other nodes.
     pub inner: SocketAddr,
@@ -59,28 +59,29 @@
     pub objects: SocketAddr,
     /// Address of the platform's VM list.
     pub vms: SocketAddr,
-    /// Addresses of other nodes to ask while the platform is away; may be empty.
+    /// Addresses of other nodes to contact while the platform is unavailable; may be empty.
     pub peers: Vec<SocketAddr>,
-    /// Most nodes that the fleet ever has; each has a floor of every limit.
+    /// Maximum number of nodes that the fleet ever has; determines each node's minimum share of
+    /// every limit.
     pub fleet_size: u32,
-    /// Traffic threads.
+    /// Number of request threads.
     pub threads: usize,
-    /// Most pieces of work held for one service.
+    /// Maximum number of queued work items per service.
     pub queue_limit: usize,
-    /// Most calls a second to the platform.
+    /// Maximum rate of calls to the platform, in calls per second.
     pub platform_call_rate: f64,
-    /// Longest time that a planned stop waits for running requests.
+    /// Longest time that a graceful shutdown waits for running requests.
     pub drain_timeout: Duration,
-    /// Log lines.
+    /// Logging.
     pub log: LogSettings,
 }
 
 impl NodeSettings {
-    /// Reads a settings file.
+    /// Parses a settings file.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the file.
+    /// Returns all errors in the file.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         read_file(file, text, read_settings)
     }
@@ -124,7 +125,7 @@
 }
 
 pub(crate) fn read_log(reader: &TableReader<'_>) -> Option<LogSettings> {
-    let level = reader.word("level", &LEVEL_WORDS);
+    let level = reader.choice("level", &LEVEL_NAMES);
     let file = reader.optional_text("file").map(PathBuf::from);
     Some(LogSettings {
         level: level?,
--- a/packages/turnford-config/src/template.rs
+++ b/packages/turnford-config/src/template.rs
@@ -8,32 +8,32 @@
 use crate::reader::TableReader;
 use crate::ConfigError;
 
-/// Most stages of one template.
-const STAGE_LIMIT: usize = 8;
+/// Maximum number of stages of a template.
+const MAX_STAGES: usize = 8;
 
-/// Longest deadline, in milliseconds.
-pub(crate) const LONGEST_DEADLINE_MS: i64 = 600_000;
+/// Maximum deadline, in milliseconds.
+pub(crate) const MAX_DEADLINE_MS: i64 = 600_000;
 
-/// Quantile of a stage's time that is reserved unless the template names one.
+/// Default for [`StageSpec::quantile`].
 const DEFAULT_QUANTILE: f64 = 0.9;
 
-/// What kind of call a stage makes.
+/// Kind of call that a stage makes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A stage pool of encoders.
+    /// Call to an encoder.
     Encode,
-    /// A stage pool of retrievers.
+    /// Call to a retriever.
     Retrieve,
-    /// A stage pool of rerankers.
+    /// Call to a reranker.
     Rerank,
-    /// A model engine that generates tokens.
+    /// Call to an inference engine that generates tokens.
     Generate,
-    /// A plain service.
+    /// Call to a plain service.
     Call,
 }
 
 impl CallKind {
-    /// Words of the template file.
+    /// Names in template files.
     pub const NAMES: [(&'static str, CallKind); 5] = [
         ("encode", CallKind::Encode),
         ("retrieve", CallKind::Retrieve),
@@ -46,42 +46,42 @@
 /// One stage of a template.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageSpec {
-    /// Name, unique in the template.
+    /// Name, unique within the template.
     pub name: String,
-    /// Service whose targets run it.
+    /// Service whose targets run the stage.
     pub service: Arc<str>,
     /// Kind of call.
     pub kind: CallKind,
-    /// Whether a call that may have run may be sent again.
+    /// Whether a call that may have run may be repeated.
     pub repeatable: bool,
-    /// Quantile of the stage's time to reserve, from 0.5 to 0.999.
+    /// Quantile of the stage's time that is reserved within the deadline, from 0.5 to 0.999.
     pub quantile: f64,
-    /// Model or adapter that the target must have.
+    /// Model or adapter that the target must have loaded.
     pub model: Option<Arc<str>>,
 }
 
-/// One description of a pipeline for many accounts.
+/// A pipeline that many accounts can use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PipelineTemplate {
-    /// Name that callers use.
+    /// Name that clients use.
     pub name: String,
-    /// Deadline unless the account or the call names a shorter one.
+    /// Default deadline. An account may replace it; a request may only shorten it.
     pub deadline: Duration,
     /// Stages in order.
     pub stages: Vec<StageSpec>,
 }
 
 impl PipelineTemplate {
-    /// Reads a template file.
+    /// Parses a template file.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the file.
+    /// Returns all errors in the file.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<ConfigError>> {
         read_file(file, text, read_template)
     }
 
-    /// Tells whether a stage must run at most once.
+    /// Returns whether a stage must run at most once, so that requests with an id need a claim.
     pub fn requires_claim(&self) -> bool {
         self.stages.iter().any(|stage| !stage.repeatable)
     }
@@ -89,17 +89,17 @@
 
 fn read_template(reader: &TableReader<'_>) -> Option<PipelineTemplate> {
     let name = reader.name("name");
-    let deadline = reader.integer("deadline_ms", 1..=LONGEST_DEADLINE_MS);
+    let deadline = reader.integer("deadline_ms", 1..=MAX_DEADLINE_MS);
     let found = reader.tables("stages", read_stage);
-    if reader.has("stages") && !(1..=STAGE_LIMIT).contains(&found.len()) {
-        let allowed = format!("1 to {STAGE_LIMIT} stages");
-        reader.problem("stages", format!("{} stages", found.len()), allowed);
+    if reader.has("stages") && !(1..=MAX_STAGES).contains(&found.len()) {
+        let allowed = format!("1 to {MAX_STAGES} stages");
+        reader.add_error("stages", format!("{} stages", found.len()), allowed);
     }
     let mut seen = BTreeSet::new();
     for stage in found.iter().flatten() {
         if !seen.insert(stage.name.clone()) {
-            let twice = format!("{:?} twice", stage.name);
-            reader.problem("stages", twice, "a name only once in a template");
+            let duplicate = format!("{:?} twice", stage.name);
+            reader.add_error("stages", duplicate, "a name only once in a template");
         }
     }
     let stages: Option<Vec<StageSpec>> = found.into_iter().collect();
@@ -113,7 +113,7 @@
 fn read_stage(reader: &TableReader<'_>) -> Option<StageSpec> {
     let name = reader.name("name");
     let service = reader.name("service");
-    let kind = reader.word("kind", &CallKind::NAMES);
+    let kind = reader.choice("kind", &CallKind::NAMES);
     let repeatable = reader.flag_or("repeatable", kind != Some(CallKind::Call));
     let quantile = reader.number_or("quantile", 0.5..=0.999, DEFAULT_QUANTILE);
     let model = if reader.has("model") {
--- a/packages/turnford-config/tests/all_problems.rs
+++ b/packages/turnford-config/tests/all_problems.rs
@@ -1,4 +1,4 @@
-//! Every problem of a file is reported at once, with its place.
+//! All errors in a file are reported at once, each with its location.
 
 use turnford_config::hash_api_key;
 use turnford_config::CallKind;
@@ -24,11 +24,9 @@
 quantile = 0.99
 "#;
 
-fn problems<T: std::fmt::Debug>(
-    parsed: Result<T, Vec<turnford_config::ConfigError>>,
-) -> Vec<String> {
-    let problems = parsed.expect_err("the file has problems");
-    problems.iter().map(ToString::to_string).collect()
+fn errors<T: std::fmt::Debug>(parsed: Result<T, Vec<turnford_config::ConfigError>>) -> Vec<String> {
+    let errors = parsed.expect_err("the file has errors");
+    errors.iter().map(ToString::to_string).collect()
 }
 
 #[test]
@@ -36,7 +34,7 @@
     let template = PipelineTemplate::parse("chat.toml", TEMPLATE).expect("the file is valid");
     let kinds: Vec<CallKind> = template.stages.iter().map(|stage| stage.kind).collect();
     assert_eq!(kinds, [CallKind::Encode, CallKind::Call]);
-    // A call to a plain service is not repeatable unless the file says so.
+    // Calls to plain services aren't repeatable by default.
     let repeatable: Vec<bool> = template
         .stages
         .iter()
@@ -66,7 +64,7 @@
 service = 7
 kind = "encode"
 "#;
-    let found = problems(PipelineTemplate::parse("t.toml", text));
+    let found = errors(PipelineTemplate::parse("t.toml", text));
     let expected = [
         "t.toml:2: name: found \"Chat Room\"; allowed: 1 to 64 characters of a-z, 0-9, '-' and \
          '.', no '.' first",
@@ -83,7 +81,7 @@
 
 #[test]
 fn broken_syntax() {
-    let found = problems(PipelineTemplate::parse("t.toml", "name = \nx = [1\n"));
+    let found = errors(PipelineTemplate::parse("t.toml", "name = \nx = [1\n"));
     assert!(
         found.iter().all(|line| line.starts_with("t.toml:")),
         "{found:?}"
@@ -94,7 +92,7 @@
 #[test]
 fn bad_account() {
     let text = "name = \"one\"\nkey_sha256 = \"secret\"\nclass = 9\nrate = -1\n";
-    let found = problems(ClientAccount::parse("a.toml", text));
+    let found = errors(ClientAccount::parse("a.toml", text));
     let fields: Vec<&str> = found
         .iter()
         .filter_map(|line| line.split(": ").nth(1))
@@ -123,7 +121,7 @@
 #[test]
 fn bad_settings() {
     let text = "name = \"n\"\nlisten = \"localhost:1\"\ninner = \"127.0.0.1:2\"\npeers = [\"x\"]\n";
-    let found = problems(NodeSettings::parse("n.toml", text));
+    let found = errors(NodeSettings::parse("n.toml", text));
     let fields: Vec<&str> = found
         .iter()
         .filter_map(|line| line.split(": ").nth(1))
--- a/packages/turnford-config/tests/serve_settings.rs
+++ b/packages/turnford-config/tests/serve_settings.rs
@@ -1,14 +1,14 @@
-//! The settings of a node that serves routes, and what is said of bad ones.
+//! Settings of a node that serves routes, and the errors reported for invalid ones.
 
 use std::time::Duration;
 
 use turnford_config::ConfigError;
 use turnford_config::ServeSettings;
 
-/// The template of the deployment with its gaps filled as the platform does.
+/// Renders the deployment's settings template the way the platform does.
 fn rendered() -> String {
     let template = include_str!("../../../deploy/node.toml");
-    let gaps = [
+    let placeholders = [
         ("{{node_name}}", "front-hal-a-1"),
         ("{{zone}}", "hal-a"),
         ("{{region}}", "dk-vest"),
@@ -29,16 +29,16 @@
         ("{{bounds.retry_budget_slack}}", "52"),
     ];
     let mut text = template.to_owned();
-    for (gap, value) in gaps {
-        text = text.replace(gap, value);
+    for (placeholder, value) in placeholders {
+        text = text.replace(placeholder, value);
     }
-    assert!(!text.contains("{{"), "a gap is left: {text}");
+    assert!(!text.contains("{{"), "a placeholder is left: {text}");
     text
 }
 
-fn problems(text: &str) -> Vec<String> {
-    let problems = ServeSettings::parse("node.toml", text).expect_err("problems");
-    problems.iter().map(ConfigError::to_string).collect()
+fn errors(text: &str) -> Vec<String> {
+    let errors = ServeSettings::parse("node.toml", text).expect_err("errors");
+    errors.iter().map(ConfigError::to_string).collect()
 }
 
 #[test]
@@ -58,12 +58,12 @@
         .replace("10.1.0.41:8625", "here")
         .replace("ratio = 0.2", "ratio = \"some\"")
         .replace("hall = \"hal-a\"", "hal = \"hal-a\"");
-    let problems = problems(&text);
-    assert_eq!(problems.len(), 4, "{problems:#?}");
-    for (field, problem) in ["hall", "hal", "listen", "repeats.ratio"]
+    let errors = errors(&text);
+    assert_eq!(errors.len(), 4, "{errors:#?}");
+    for (field, error) in ["hall", "hal", "listen", "repeats.ratio"]
         .iter()
-        .zip(&problems)
+        .zip(&errors)
     {
-        assert!(problem.contains(field), "{field}: {problem}");
+        assert!(error.contains(field), "{field}: {error}");
     }
 }
--- a/packages/turnford-node/examples/capacity.rs
+++ b/packages/turnford-node/examples/capacity.rs
@@ -1,8 +1,8 @@
-//! Measures the slopes behind docs/CAPACITY.md.
+//! Measures the growth rates behind docs/CAPACITY.md.
 //!
-//! `cargo run --release -p turnford-node --example capacity` feeds the control state of one node
-//! with growing fleets and prints heap bytes (by a counting allocator), processor time (of this
-//! thread, from the system) and bytes on the inner protocol (as the codec makes them).
+//! `cargo run --release -p turnford-node --example capacity` loads the control state of one node
+//! with fleets of increasing size. It prints heap bytes (from a counting allocator), CPU time (of
+//! this thread, from the system) and bytes of the internal protocol (as encoded by the codec).
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -50,22 +50,22 @@
 use turnford_wire::PeerReply;
 use turnford_wire::PeerRequest;
 
-/// Counts the bytes in use.
+/// Allocator that counts the bytes in use.
 struct CountingAllocator;
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: Every call goes to the system's allocator unchanged; only a counter is kept beside it.
+// SAFETY: Every call is forwarded unchanged to the system allocator; only a counter is updated.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: The caller's promises for `layout` are passed on.
+        // SAFETY: The caller upholds the requirements on `layout`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: The pointer came from `alloc` above with the same layout.
+        // SAFETY: The pointer was returned by `alloc` above for the same layout.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -73,17 +73,17 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Rounds in which nodes ask a lender, 300 ms apart.
+/// Number of rounds in which nodes request shares from a lender, 300 ms apart.
 const ROUNDS: u64 = 34;
 
-/// Returns a value and the heap bytes that it holds.
-fn weigh<T>(make: impl FnOnce() -> T) -> (T, usize) {
+/// Returns a value and the number of heap bytes that it holds.
+fn measure_heap<T>(make: impl FnOnce() -> T) -> (T, usize) {
     let before = IN_USE.load(Ordering::Relaxed);
     let value = make();
     (value, IN_USE.load(Ordering::Relaxed).saturating_sub(before))
 }
 
-/// Returns the processor time of this thread so far.
+/// Returns the CPU time that this thread has used.
 fn thread_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text
@@ -94,7 +94,7 @@
     Duration::from_nanos(nanos)
 }
 
-/// Returns the processor time of one run of a step, over many.
+/// Returns the mean CPU time of one run of a step over `count` runs.
 fn time_each(count: u32, mut step: impl FnMut(u32)) -> Duration {
     let before = thread_time();
     for number in 0..count {
@@ -103,8 +103,8 @@
     (thread_time() - before) / count
 }
 
-fn micros(span: Duration) -> f64 {
-    span.as_secs_f64() * 1e6
+fn micros(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e6
 }
 
 fn member(number: usize) -> MemberUpdate {
@@ -126,7 +126,7 @@
     println!("| members | heap KB | tick us | probe us | checksum us | ping B | pong B |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for count in [100, 300, 880] {
-        let (mut table, heap) = weigh(|| {
+        let (mut table, heap) = measure_heap(|| {
             let mut table = MemberTable::new(member(0), 1);
             for number in 1..count {
                 table.apply(Moment::ZERO, member(number));
@@ -139,7 +139,7 @@
         });
         let mut sizes = (0, 0);
         let probe = time_each(40_000, |number| {
-            // A death or start every now and then keeps the gossip full.
+            // Each probe carries a membership change, so that the gossip stays full.
             let mut update = member(1 + number as usize % (count - 1));
             update.incarnation = 2 + u64::from(number);
             table.apply(Moment::ZERO, update);
@@ -204,12 +204,12 @@
 }
 
 fn measure_config() {
-    println!("\nconfiguration: state, mark for each ping, one change in force");
-    println!("| objects | heap KB | mark us | snapshot ms | rumor B |");
+    println!("\nconfiguration: state, digest for each ping, activation of one change");
+    println!("| objects | heap KB | digest us | snapshot ms | rumor B |");
     println!("| --- | --- | --- | --- | --- |");
     for count in [100, 300, 930] {
-        let (view, heap) = weigh(|| config_view(count));
-        let mark = time_each(40_000, |_| {
+        let (view, heap) = measure_heap(|| config_view(count));
+        let digest = time_each(40_000, |_| {
             std::hint::black_box(view.digest());
         });
         let snapshot = time_each(100, |_| {
@@ -223,7 +223,7 @@
         println!(
             "| {count} | {:.1} | {:.1} | {:.2} | {bytes} |",
             heap as f64 / 1024.0,
-            micros(mark),
+            micros(digest),
             micros(snapshot) / 1000.0
         );
     }
@@ -266,7 +266,7 @@
     println!("| targets | heap KB | decide+finish us | reports us |");
     println!("| --- | --- | --- | --- |");
     for count in [500, 600, 1500, 4500] {
-        let (mut pool, heap) = weigh(|| {
+        let (mut pool, heap) = measure_heap(|| {
             let mut pool = ServicePool::new(PoolSettings::default());
             pool.apply_list((0..count).map(facts).collect());
             pool
@@ -349,10 +349,10 @@
     key
 }
 
-/// Commits claims of one range in groups of `group` until it holds `total`.
+/// Measures a range that commits claims in groups of `group` until it holds `total`.
 fn measure_claims() {
     println!("\nclaims: one range filled in groups; the last write's cost and size");
-    println!("| claims held | group | writes | us a claim | ms a write | value KB |");
+    println!("| claims held | group | writes | us per claim | ms per write | value KB |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for (total, group) in [
         (1_000_u64, 25_u64),
@@ -393,11 +393,11 @@
                 }
             }
         }
-        let spent = thread_time() - before;
+        let cpu_time = thread_time() - before;
         println!(
             "| {total} | {group} | {writes} | {:.1} | {:.2} | {:.0} |",
-            micros(spent) / total as f64,
-            micros(spent) / 1000.0 / f64::from(writes),
+            micros(cpu_time) / total as f64,
+            micros(cpu_time) / 1000.0 / f64::from(writes),
             size as f64 / 1024.0
         );
     }
@@ -405,29 +405,31 @@
 
 fn measure_lender() {
     println!(
-        "\nlender: one account lent to nodes, after 10 s of rounds; bytes of an ask and its reply"
+        "\nlender: one account lent to nodes, after 10 s of rounds; bytes of a request and its reply"
+    );
+    println!(
+        "| nodes | heap KB per account | us per request | request B | reply B | empty request B |"
     );
-    println!("| nodes | heap KB an account | us an ask | ask B | reply B | empty ask B |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for nodes in [8, 100, 300, 880] {
         let names: Vec<String> = (0..nodes).map(|number| member(number).name).collect();
         let mut demands: Vec<ShareDemand> = (0..nodes).map(|_| share_demand()).collect();
-        let mut spent = Duration::ZERO;
+        let mut cpu_time = Duration::ZERO;
         let mut stamp = LenderStamp::default();
-        let (state, heap) = weigh(|| {
+        let (state, heap) = measure_heap(|| {
             let limit = ShareSize {
                 rate: 1000.0,
                 concurrency: 2000,
             };
             let mut lender = ShareLender::new(Moment::ZERO, 1, limit, true);
-            let mut heard = NodeContacts::new(Moment::ZERO, 1, nodes as u32);
+            let mut contacts = NodeContacts::new(Moment::ZERO, 1, nodes as u32);
             let mut last = None;
             for round in 0..ROUNDS {
                 let now = Duration::from_millis(300 * round);
-                spent += time_each(1, |_| {
+                cpu_time += time_each(1, |_| {
                     for (name, demand) in names.iter().zip(&mut demands) {
-                        stamp = heard.record_contact(now, name, stamp);
-                        last = lender.lend(now, name, demand, &heard);
+                        stamp = contacts.record_contact(now, name, stamp);
+                        last = lender.lend(now, name, demand, &contacts);
                         if let Some(grant) = &last {
                             demand.newest = grant.number;
                             demand.using = grant.size;
@@ -435,10 +437,10 @@
                     }
                 });
             }
-            spent /= ROUNDS as u32 * nodes as u32;
-            (lender, heard, last)
+            cpu_time /= ROUNDS as u32 * nodes as u32;
+            (lender, contacts, last)
         });
-        let ask = |demands| {
+        let request_bytes = |demands| {
             let node = names[0].clone();
             let request = PeerRequest::Share {
                 node,
@@ -456,9 +458,9 @@
         println!(
             "| {nodes} | {:.1} | {:.1} | {} | {reply} | {} |",
             heap as f64 / 1024.0,
-            micros(spent),
-            ask(vec![demands[0].clone()]),
-            ask(Vec::new())
+            micros(cpu_time),
+            request_bytes(vec![demands[0].clone()]),
+            request_bytes(Vec::new())
         );
     }
 }
