--- a/packages/turnford-config/src/lib.rs
+++ b/packages/turnford-config/src/lib.rs
@@ -4,8 +4,8 @@
 //! field, the value found and the values allowed. The crate does no I/O.
 
 mod account;
+mod error;
 mod object;
-mod problem;
 mod reader;
 mod serve;
 mod settings;
@@ -14,9 +14,9 @@
 pub use account::hash_api_key;
 pub use account::ClientAccount;
 pub use account::TemplateParameters;
+pub use error::ConfigError;
 pub use object::ConfigObject;
 pub use object::ObjectKind;
-pub use problem::ConfigError;
 pub use serve::RetrySettings;
 pub use serve::ServeSettings;
 pub use settings::LogLevel;
