--- a/packages/turnford-node/src/admit.rs
+++ b/packages/turnford-node/src/admit.rs
@@ -60,14 +60,14 @@
 #[derive(Default)]
 pub(crate) struct PendingGuard {
     class: u8,
-    open: Vec<Option<(Arc<StagePool>, Duration)>>,
+    stages: Vec<Option<(Arc<StagePool>, Duration)>>,
 }
 
 impl PendingGuard {
     /// Removes a stage's pending load, because the stage is submitted to its pool next.
     pub(crate) fn remove(&mut self, stage: usize) {
         let class = self.class;
-        if let Some((pool, expected)) = self.open.get_mut(stage).and_then(Option::take) {
+        if let Some((pool, expected)) = self.stages.get_mut(stage).and_then(Option::take) {
             pool.with(|_, pool| pool.remove_pending(class, expected));
         }
     }
@@ -75,7 +75,7 @@
 
 impl Drop for PendingGuard {
     fn drop(&mut self) {
-        for stage in 0..self.open.len() {
+        for stage in 0..self.stages.len() {
             self.remove(stage);
         }
     }
@@ -83,10 +83,10 @@
 
 /// Estimates the length of a stage's work, in tokens.
 pub(crate) fn stage_length(stage: &StageSpec, input: &str, max_tokens: u32) -> u32 {
-    let read = u32::try_from(input.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
+    let input_tokens = u32::try_from(input.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
     match stage.kind {
-        CallKind::Generate => read.saturating_add(max_tokens),
-        _ => read,
+        CallKind::Generate => input_tokens.saturating_add(max_tokens),
+        _ => input_tokens,
     }
 }
 
@@ -115,20 +115,20 @@
         RequestOutcome::not_run(ResultCode::TemplateNotAllowed, message)
     })?;
     let request_id = read_request_id(request)?;
-    let own = parameters.deadline.unwrap_or(template.deadline);
-    let asked = read_deadline(request)?.map_or(own, |asked| asked.min(own));
-    let deadline = started + asked;
+    let default = parameters.deadline.unwrap_or(template.deadline);
+    let requested = read_deadline(request)?.map_or(default, |requested| requested.min(default));
+    let deadline = started + requested;
     let input = read_input(&account, &request.body)?;
     let permit = acquire_permit(state, &account)?;
     let running = state.track_running();
-    let chain = ChainInput {
+    let context = AdmissionContext {
         account: &account,
         template: &template,
         input: &input,
         max_tokens: parameters.max_tokens,
-        usual_deadline: asked == own,
+        is_default_deadline: requested == default,
     };
-    let (budget, pending) = admit_chain(state, &chain, deadline)?;
+    let (budget, pending) = admit_stages(state, &context, deadline)?;
     Ok(AdmittedRequest {
         state: state.clone(),
         trace,
@@ -186,9 +186,9 @@
     let Some(text) = request.header("turnford-deadline-ms") else {
         return Ok(None);
     };
-    let span = text.parse().ok().map(Duration::from_millis);
-    match span {
-        Some(span) if !span.is_zero() && span <= MAX_DEADLINE => Ok(Some(span)),
+    let deadline = text.parse().ok().map(Duration::from_millis);
+    match deadline {
+        Some(deadline) if !deadline.is_zero() && deadline <= MAX_DEADLINE => Ok(Some(deadline)),
         _ => {
             let message = "Turnford-Deadline-Ms: a whole number from 1 to 600000";
             Err(RequestOutcome::not_run(ResultCode::BadRequest, message))
@@ -229,41 +229,41 @@
 }
 
 /// What the admission of a request's stages depends on.
-struct ChainInput<'a> {
+struct AdmissionContext<'a> {
     account: &'a ClientAccount,
     template: &'a PipelineTemplate,
     input: &'a str,
     max_tokens: u32,
     /// Whether the client asked for no shorter deadline than the account's.
-    usual_deadline: bool,
+    is_default_deadline: bool,
 }
 
 /// Admits all stages together and registers their expected times with the pools as pending load.
-fn admit_chain(
+fn admit_stages(
     state: &Arc<NodeState>,
-    chain: &ChainInput<'_>,
+    context: &AdmissionContext<'_>,
     deadline: Moment,
 ) -> Result<(DeadlineBudget, PendingGuard), RequestOutcome> {
-    let class = chain.account.class;
+    let class = context.account.class;
     let mut demands: Vec<StageDemand> = Vec::new();
-    let mut open = Vec::new();
-    for stage in &chain.template.stages {
+    let mut stages = Vec::new();
+    for stage in &context.template.stages {
         let Some(pool) = state.pool(&stage.service) else {
             let message = format!("no target of service {} is known", stage.service);
             return Err(RequestOutcome::not_run(ResultCode::NoTarget, message)
                 .retry_after(Duration::from_secs(1)));
         };
-        let length = stage_length(stage, chain.input, chain.max_tokens);
+        let length = stage_length(stage, context.input, context.max_tokens);
         let (demand, expected) = pool.with(|now, pool| {
             let demand = pool.stage_demand(now, class, length, stage.quantile);
             (demand, pool.expected_time(now, length))
         });
         demands.push(demand);
-        open.push(Some((pool, expected)));
+        stages.push(Some((pool, expected)));
     }
     let now = state.clock.now();
     let mut probes = state.probes();
-    let gate = chain.usual_deadline.then_some(&mut *probes);
+    let gate = context.is_default_deadline.then_some(&mut *probes);
     let plan = plan_admission(now, deadline, &demands, gate);
     drop(probes);
     let budget = match plan {
@@ -280,8 +280,8 @@
             );
         }
     };
-    for (pool, expected) in open.iter().flatten() {
+    for (pool, expected) in stages.iter().flatten() {
         pool.with(|_, pool| pool.add_pending(class, *expected));
     }
-    Ok((budget, PendingGuard { class, open }))
+    Ok((budget, PendingGuard { class, stages }))
 }
--- a/packages/turnford-node/src/claim.rs
+++ b/packages/turnford-node/src/claim.rs
@@ -106,10 +106,13 @@
         sent: 0,
         outcome: None,
     };
-    let left = request.budget.deadline().saturating_sub(state.clock.now());
+    let remaining = request.budget.deadline().saturating_sub(state.clock.now());
     let verdict = state
         .control
-        .claim(ClaimRequest::Acquire(key, owner), left.min(CLAIM_TIMEOUT))
+        .claim(
+            ClaimRequest::Acquire(key, owner),
+            remaining.min(CLAIM_TIMEOUT),
+        )
         .await;
     match verdict {
         ClaimVerdict::Granted => Ok(Some(guard)),
--- a/packages/turnford-node/src/control/caches.rs
+++ b/packages/turnford-node/src/control/caches.rs
@@ -45,10 +45,10 @@
     let Some(address) = context.state.addresses.load().get(engine).copied() else {
         return after;
     };
-    let Ok(found) = context.state.targets.cache_events(address, after).await else {
+    let Ok(response) = context.state.targets.cache_events(address, after).await else {
         return after;
     };
-    let (Some(first), Some(last)) = (found.events.first(), found.events.last()) else {
+    let (Some(first), Some(last)) = (response.events.first(), response.events.last()) else {
         return after;
     };
     let newest = last.number;
@@ -58,7 +58,7 @@
             if gap {
                 pool.clear_prefixes(engine);
             }
-            for event in &found.events {
+            for event in &response.events {
                 pool.apply_cache_event(engine, event.prefix, event.present);
             }
         });
--- a/packages/turnford-node/src/control/claims.rs
+++ b/packages/turnford-node/src/control/claims.rs
@@ -86,8 +86,8 @@
     if let Ok(PeerReply::Claim(verdict)) = reply {
         return verdict;
     }
-    let left = timeout.saturating_sub(context.now().saturating_sub(started));
-    commit_locally(context, request, left).await
+    let remaining = timeout.saturating_sub(context.now().saturating_sub(started));
+    commit_locally(context, request, remaining).await
 }
 
 /// Commits a claim request on this node.
--- a/packages/turnford-node/src/control/members.rs
+++ b/packages/turnford-node/src/control/members.rs
@@ -63,7 +63,7 @@
         .spawn(sweep_records(context.clone()))
         .detach();
     ping_known_peers(&context).await;
-    let mut left = false;
+    let mut leave_started = false;
     loop {
         Timer::after(TICK_INTERVAL).await;
         let now = context.now();
@@ -85,8 +85,8 @@
             .metrics
             .frame_bytes
             .set(context.peers.frame_bytes());
-        if !left && context.state.draining.load(Ordering::SeqCst) {
-            left = true;
+        if !leave_started && context.state.draining.load(Ordering::SeqCst) {
+            leave_started = true;
             context.executor.spawn(leave(context.clone())).detach();
         }
     }
--- a/packages/turnford-node/src/stage.rs
+++ b/packages/turnford-node/src/stage.rs
@@ -134,17 +134,17 @@
     /// show that it is alive.
     fn attempt_timeout(&self, pool: &StagePool, work: &StageWork) -> Duration {
         let now = self.now();
-        let left = self.request.budget.deadline().saturating_sub(now);
+        let remaining = self.request.budget.deadline().saturating_sub(now);
         if !self.spec.repeatable {
-            return left + DEADLINE_GRACE;
+            return remaining + DEADLINE_GRACE;
         }
         if self.spec.kind == CallKind::Generate {
-            return left;
+            return remaining;
         }
         let loss_timeout = pool.with(|now, pool| pool.loss_timeout(now, work.length));
         let loss_timeout = loss_timeout.map(|timeout| timeout.max(MIN_LOSS_TIMEOUT));
-        let fitting = loss_timeout.filter(|timeout| *timeout + work.expected_time <= left);
-        fitting.unwrap_or(left)
+        let fitting = loss_timeout.filter(|timeout| *timeout + work.expected_time <= remaining);
+        fitting.unwrap_or(remaining)
     }
 }
 
