--- a/packages/turnford-node/src/control/shares.rs
+++ b/packages/turnford-node/src/control/shares.rs
@@ -285,8 +285,8 @@
     };
     let now = context.now();
     let mut table = context.shares.borrow_mut();
-    // A lender that only records contacts or can't lend yet grants nothing, so that a starting node
-    // doesn't become ready through it.
+    // A lender that still collects demands, or has nothing to lend yet, grants no concurrency and
+    // doesn't make a starting node ready.
     table.answered[usize::from(group)] |= grants.iter().any(|grant| grant.size.concurrency > 0);
     let state = &mut table.groups[usize::from(group)];
     state.contact = now;
