--- a/packages/turnford-config/src/lib.rs
+++ b/packages/turnford-config/src/lib.rs
@@ -1,11 +1,11 @@
-//! Settings of a node, pipeline templates and client accounts: types, parsing and checks.
+//! Node settings, pipeline templates and client accounts: types, parsing and validation.
 //!
-//! A file is checked as a whole: every problem is reported at once, each with its place, field,
-//! what was found and what is allowed. Nothing here does I/O.
+//! A file is validated as a whole: all errors are reported at once, each with its location, its
+//! field, the value found and the values allowed. The crate does no I/O.
 
 mod account;
+mod error;
 mod object;
-mod problem;
 mod reader;
 mod serve;
 mod settings;
@@ -14,9 +14,9 @@
 pub use account::hash_api_key;
 pub use account::ClientAccount;
 pub use account::TemplateParameters;
+pub use error::ConfigError;
 pub use object::ConfigObject;
 pub use object::ObjectKind;
-pub use problem::ConfigError;
 pub use serve::RetrySettings;
 pub use serve::ServeSettings;
 pub use settings::LogLevel;
@@ -26,5 +26,5 @@
 pub use template::PipelineTemplate;
 pub use template::StageSpec;
 
-/// Highest class rank; rank 0 is served first.
+/// Highest class rank, which has the lowest priority. Rank 0 is served first.
 pub const LOWEST_CLASS: u8 = 3;
