--- a/packages/turnford-serve/src/accept.rs
+++ b/packages/turnford-serve/src/accept.rs
@@ -126,7 +126,7 @@
 }
 
 fn plain_answer(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::whole(body));
+    let mut answer = Response::new(ResponseBody::full(body));
     *answer.status_mut() = status;
     answer
 }
--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -24,8 +24,8 @@
 use crate::progress::PlacerHandle;
 use crate::record::RequestRecord;
 use crate::service_context::ServiceContext;
-use crate::stages::forecast_alone;
-use crate::stages::least_span;
+use crate::stages::forecast_locally;
+use crate::stages::min_duration;
 use crate::traffic::Traffic;
 
 /// An admitted request's stages; their end is told when this is dropped.
@@ -46,11 +46,11 @@
             admitted,
             expected: RefCell::new(vec![None; forecast.ends.len()]),
         };
-        flow.expect_all(now, forecast);
+        flow.set_forecast(now, forecast);
         flow
     }
 
-    fn expect_all(&self, now: Moment, forecast: &FlowForecast) {
+    fn set_forecast(&self, now: Moment, forecast: &FlowForecast) {
         let is_open = |end: &Duration| !end.is_zero();
         let ends = forecast.ends.iter();
         let ends = ends.map(|end| is_open(end).then(|| now + *end));
@@ -79,13 +79,13 @@
     }
 
     /// Notes that a stage is done.
-    pub(crate) fn note_stage(&self, stage: usize) {
+    pub(crate) fn record_stage_done(&self, stage: usize) {
         if let Some(expected) = self.expected.borrow_mut().get_mut(stage) {
             *expected = None;
         }
         if let Some((placer, ticket)) = &self.admitted {
             let stage = u32::try_from(stage).unwrap_or(u32::MAX);
-            placer.tell(RunUpdate::StageDone(*ticket, stage));
+            placer.notify(RunUpdate::StageDone(*ticket, stage));
         }
     }
 }
@@ -93,7 +93,7 @@
 impl Drop for AdmittedFlow {
     fn drop(&mut self) {
         if let Some((placer, ticket)) = &self.admitted {
-            placer.tell(RunUpdate::StagesEnded(*ticket));
+            placer.notify(RunUpdate::StagesEnded(*ticket));
         }
     }
 }
@@ -106,45 +106,50 @@
 pub(crate) async fn admit_flow(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
 ) -> Result<AdmittedFlow, FlowRefusal> {
-    let need = flow_need(traffic, record);
+    let flow_request = build_flow_request(traffic, record);
     let now = traffic.shared.now();
-    if need.stages.iter().all(|stage| stage.pieces == 0) {
+    if flow_request.stages.iter().all(|stage| stage.pieces == 0) {
         let forecast = FlowForecast { ends: Vec::new() };
         return Ok(AdmittedFlow::new(now, None, &forecast));
     }
-    let patience = record
-        .serve_by()
-        .saturating_sub(now + record.last_span.get());
-    let address = desk.limits.placer();
+    let send_within = record
+        .first_event_deadline()
+        .saturating_sub(now + record.final_call_time.get());
+    let address = context.limits.placer();
     let answer = match address {
-        None => Some(admit_here(traffic, desk, &need, patience)),
+        None => Some(admit_locally(traffic, context, &flow_request, send_within)),
         Some(placer) => {
-            let request = WorkRequest::Admit(admit_ask(traffic, desk, &need, patience));
+            let request = WorkRequest::Admit(encode_admit_request(
+                traffic,
+                context,
+                &flow_request,
+                send_within,
+            ));
             let reply = traffic
                 .peers
                 .call(placer, &request, PLACEMENT_TIMEOUT)
                 .await;
-            reply.and_then(admit_answer)
+            reply.and_then(decode_admit_reply)
         }
     };
     let Some(answer) = answer else {
-        record.note(format_args!("admitted here: the placer gave no answer"));
-        return admit_alone(traffic, record, need.time_budget);
+        record.trace(format_args!("admitted here: the placer gave no answer"));
+        return admit_without_placer(traffic, record, flow_request.time_budget);
     };
     let placer = PlacerHandle {
         traffic: traffic.clone(),
-        desk: desk.clone(),
+        context: context.clone(),
         address,
     };
     answer.map(|(ticket, forecast)| AdmittedFlow::new(now, Some((placer, ticket)), &forecast))
 }
 
-fn admit_answer(reply: WorkReply) -> Option<Result<(FlowTicket, FlowForecast), FlowRefusal>> {
+fn decode_admit_reply(reply: WorkReply) -> Option<Result<(FlowTicket, FlowForecast), FlowRefusal>> {
     let span = |millis: u32| Duration::from_millis(u64::from(millis));
     match reply {
-        WorkReply::Admitted(ticket, ends) => Some(Ok((ticket, told_forecast(&ends)))),
+        WorkReply::Admitted(ticket, ends) => Some(Ok((ticket, decode_forecast(&ends)))),
         WorkReply::NotAdmitted {
             late_ms,
             retry_after_ms,
@@ -157,7 +162,7 @@
 }
 
 /// Returns a forecast as another node told it.
-pub(crate) fn told_forecast(ends: &[u32]) -> FlowForecast {
+pub(crate) fn decode_forecast(ends: &[u32]) -> FlowForecast {
     let ends = ends.iter();
     FlowForecast {
         ends: ends
@@ -167,12 +172,12 @@
 }
 
 /// Admits by the queues that this node knows.
-fn admit_alone(
+fn admit_without_placer(
     traffic: &Traffic,
     record: &RequestRecord,
     limit: Duration,
 ) -> Result<AdmittedFlow, FlowRefusal> {
-    let forecast = forecast_alone(traffic, record, |_| true);
+    let forecast = forecast_locally(traffic, record, |_| true);
     let lateness = forecast.end().saturating_sub(limit);
     if lateness.is_zero() {
         return Ok(AdmittedFlow::new(traffic.shared.now(), None, &forecast));
@@ -183,38 +188,38 @@
     })
 }
 
-fn admit_here(
+fn admit_locally(
     traffic: &Traffic,
-    desk: &ServiceContext,
-    need: &FlowRequest,
-    patience: Duration,
+    context: &ServiceContext,
+    flow_request: &FlowRequest,
+    send_within: Duration,
 ) -> Result<(FlowTicket, FlowForecast), FlowRefusal> {
     let now = traffic.shared.now();
-    check_limits(desk, now, need, patience)?;
+    check_limits(context, now, flow_request, send_within)?;
     let rate_of = |service: &str| traffic.service(service)?.stage_rate(now);
-    desk.flow.borrow_mut().admit(now, need, rate_of)
+    context.flow.borrow_mut().admit(now, flow_request, rate_of)
 }
 
 /// Admits a request if the limits of its own targets leave a call for it in time.
 fn check_limits(
-    desk: &ServiceContext,
+    context: &ServiceContext,
     now: Moment,
-    need: &FlowRequest,
-    patience: Duration,
+    flow_request: &FlowRequest,
+    send_within: Duration,
 ) -> Result<(), FlowRefusal> {
-    let mut division = desk.limits.election.borrow_mut();
-    let has_limits = desk.limits.table.borrow().has_limits();
-    let Some(divider) = division.allocator().filter(|_| has_limits) else {
+    let mut election = context.limits.election.borrow_mut();
+    let has_limits = context.limits.table.borrow().has_limits();
+    let Some(allocator) = election.allocator().filter(|_| has_limits) else {
         return Ok(());
     };
-    let targets = desk.targets.borrow().untried_targets(&[]);
-    let coming = desk.flow.borrow().admitted_before(need.ranks);
-    let turn = divider.forecast(now, need.ranks, coming, &targets);
-    let lateness = turn.map_or(Duration::ZERO, |turn| turn.saturating_sub(patience));
+    let targets = context.targets.borrow().untried_targets(&[]);
+    let queued_before = context.flow.borrow().admitted_before(flow_request.ranks);
+    let turn = allocator.forecast(now, flow_request.ranks, queued_before, &targets);
+    let lateness = turn.map_or(Duration::ZERO, |turn| turn.saturating_sub(send_within));
     if lateness.is_zero() {
         return Ok(());
     }
-    let retry_after = divider.schedule_retry(now, lateness, &targets);
+    let retry_after = allocator.schedule_retry(now, lateness, &targets);
     Err(FlowRefusal {
         lateness,
         retry_after,
@@ -223,20 +228,22 @@
 
 /// Returns the time in which a request's stages must be done. One that is late however short the
 /// queues are would be late again after a refusal, too, and is served within its deadline.
-fn stage_limit(traffic: &Traffic, record: &RequestRecord) -> Duration {
-    let last = record.last_span.get();
+fn stage_time_budget(traffic: &Traffic, record: &RequestRecord) -> Duration {
+    let final_call = record.final_call_time.get();
     let now = traffic.shared.now();
-    let latest = record.serve_by().saturating_sub(now + last);
+    let latest = record
+        .first_event_deadline()
+        .saturating_sub(now + final_call);
     let due = record.started_at + record.route.latency_objective;
-    let prompt = due.saturating_sub(now + last).min(latest);
-    if least_span(traffic, record, |_| true) <= prompt {
+    let prompt = due.saturating_sub(now + final_call).min(latest);
+    if min_duration(traffic, record, |_| true) <= prompt {
         prompt
     } else {
         latest
     }
 }
 
-fn flow_need(traffic: &Traffic, record: &RequestRecord) -> FlowRequest {
+fn build_flow_request(traffic: &Traffic, record: &RequestRecord) -> FlowRequest {
     let route = &record.route;
     let graph = record.stage_graph();
     let stages = route
@@ -251,57 +258,57 @@
     FlowRequest {
         stages: stages.collect(),
         ranks: (record.rank, route.rank),
-        time_budget: stage_limit(traffic, record),
+        time_budget: stage_time_budget(traffic, record),
         deadline: record.deadline,
     }
 }
 
-fn admit_ask(
+fn encode_admit_request(
     traffic: &Traffic,
-    desk: &ServiceContext,
-    need: &FlowRequest,
-    patience: Duration,
+    context: &ServiceContext,
+    flow_request: &FlowRequest,
+    send_within: Duration,
 ) -> AdmitRequest {
-    let left = need.deadline.saturating_sub(traffic.shared.now());
+    let remaining = flow_request.deadline.saturating_sub(traffic.shared.now());
     let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
     let number = |value: &usize| u32::try_from(*value).unwrap_or(u32::MAX);
-    let stages = need.stages.iter().map(|stage| AdmitStage {
+    let stages = flow_request.stages.iter().map(|stage| AdmitStage {
         service: stage.service.to_string(),
         pieces: stage.pieces,
         inputs: stage.inputs.iter().map(number).collect(),
     });
     AdmitRequest {
-        service: desk.spec.borrow().name.to_string(),
+        service: context.spec.borrow().name.to_string(),
         stages: stages.collect(),
-        ranks: need.ranks,
-        time_budget_ms: millis(need.time_budget),
-        send_deadline_ms: millis(patience),
-        remaining_ms: millis(left),
+        ranks: flow_request.ranks,
+        time_budget_ms: millis(flow_request.time_budget),
+        send_deadline_ms: millis(send_within),
+        remaining_ms: millis(remaining),
     }
 }
 
 /// Answers a request to admit.
-pub(crate) fn answer_admit(traffic: &Rc<Traffic>, ask: AdmitRequest) -> WorkReply {
-    let Some(desk) = traffic.service(&ask.service) else {
+pub(crate) fn answer_admit(traffic: &Rc<Traffic>, admit_request: AdmitRequest) -> WorkReply {
+    let Some(context) = traffic.service(&admit_request.service) else {
         return WorkReply::Refused;
     };
-    let stages = ask.stages.into_iter().map(|stage| FlowStage {
+    let stages = admit_request.stages.into_iter().map(|stage| FlowStage {
         service: stage.service.into(),
         pieces: stage.pieces,
         inputs: stage.inputs.iter().map(|&input| input as usize).collect(),
     });
-    let need = FlowRequest {
+    let flow_request = FlowRequest {
         stages: stages.collect(),
-        ranks: ask.ranks,
-        time_budget: Duration::from_millis(ask.time_budget_ms),
-        deadline: traffic.shared.now() + Duration::from_millis(ask.remaining_ms),
+        ranks: admit_request.ranks,
+        time_budget: Duration::from_millis(admit_request.time_budget_ms),
+        deadline: traffic.shared.now() + Duration::from_millis(admit_request.remaining_ms),
     };
-    let patience = Duration::from_millis(ask.send_deadline_ms);
-    match admit_here(traffic, &desk, &need, patience) {
+    let send_within = Duration::from_millis(admit_request.send_deadline_ms);
+    match admit_locally(traffic, &context, &flow_request, send_within) {
         Ok((ticket, forecast)) => WorkReply::Admitted(ticket, encode_forecast(&forecast)),
         Err(refusal) => WorkReply::NotAdmitted {
-            late_ms: short_millis(refusal.lateness),
-            retry_after_ms: short_millis(refusal.retry_after),
+            late_ms: millis_u32(refusal.lateness),
+            retry_after_ms: millis_u32(refusal.retry_after),
         },
     }
 }
@@ -313,30 +320,30 @@
     ticket: FlowTicket,
     is_late: bool,
 ) -> WorkReply {
-    let Some(desk) = traffic.service(service) else {
+    let Some(context) = traffic.service(service) else {
         return WorkReply::Refused;
     };
-    let forecast = forecast_here(traffic, &desk, ticket, is_late);
+    let forecast = forecast_flow(traffic, &context, ticket, is_late);
     WorkReply::Forecast(forecast.as_ref().map(encode_forecast))
 }
 
 /// Forecasts what is left of the stages of a request that this node admitted.
-pub(crate) fn forecast_here(
+pub(crate) fn forecast_flow(
     traffic: &Traffic,
-    desk: &ServiceContext,
+    context: &ServiceContext,
     ticket: FlowTicket,
     is_late: bool,
 ) -> Option<FlowForecast> {
     let now = traffic.shared.now();
     let rate_of = |service: &str| traffic.service(service)?.stage_rate(now);
-    desk.flow.borrow().forecast(ticket, is_late, rate_of)
+    context.flow.borrow().forecast(ticket, is_late, rate_of)
 }
 
 fn encode_forecast(forecast: &FlowForecast) -> Vec<u32> {
     let ends = forecast.ends.iter();
-    ends.map(|end| short_millis(*end)).collect()
+    ends.map(|end| millis_u32(*end)).collect()
 }
 
-pub(crate) fn short_millis(span: Duration) -> u32 {
+pub(crate) fn millis_u32(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
--- a/packages/turnford-serve/src/answer.rs
+++ b/packages/turnford-serve/src/answer.rs
@@ -39,9 +39,9 @@
 /// Body of an answer.
 pub(crate) enum ResponseBody {
     /// The whole body.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// A body that a task passes on as it comes. Dropping the body ends the task.
-    Relayed {
+    Streamed {
         chunks: Pin<Box<Receiver<Result<Bytes, BodyTruncated>>>>,
         _task: Task<()>,
     },
@@ -49,13 +49,13 @@
 
 impl ResponseBody {
     /// Makes a body of bytes that are all there.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
-        ResponseBody::Whole(Some(bytes))
+    pub(crate) fn full(bytes: Bytes) -> Self {
+        ResponseBody::Full(Some(bytes))
     }
 
     /// Makes a body that a task writes into a channel.
-    pub(crate) fn relayed(chunks: Receiver<Result<Bytes, BodyTruncated>>, task: Task<()>) -> Self {
-        ResponseBody::Relayed {
+    pub(crate) fn streamed(chunks: Receiver<Result<Bytes, BodyTruncated>>, task: Task<()>) -> Self {
+        ResponseBody::Streamed {
             chunks: Box::pin(chunks),
             _task: task,
         }
@@ -71,11 +71,11 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyTruncated>>> {
         match self.get_mut() {
-            ResponseBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            ResponseBody::Relayed { chunks, .. } => {
+            ResponseBody::Streamed { chunks, .. } => {
                 let chunk = chunks.as_mut().poll_next(context);
                 chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
@@ -84,31 +84,31 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            ResponseBody::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            ResponseBody::Relayed { .. } => false,
+            ResponseBody::Full(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            ResponseBody::Streamed { .. } => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ResponseBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            ResponseBody::Relayed { .. } => SizeHint::default(),
+            ResponseBody::Streamed { .. } => SizeHint::default(),
         }
     }
 }
 
 /// Returns the answer of a target with a body for the client.
 pub(crate) fn proxied_response(parts: &Parts, body: ResponseBody) -> Response<ResponseBody> {
-    let mut answer = Response::new(body);
-    *answer.status_mut() = parts.status;
-    *answer.headers_mut() = client_headers(parts);
-    if matches!(answer.body(), ResponseBody::Whole(_)) {
+    let mut response = Response::new(body);
+    *response.status_mut() = parts.status;
+    *response.headers_mut() = client_headers(parts);
+    if matches!(response.body(), ResponseBody::Full(_)) {
         // The library writes the length of the bytes that are really there.
-        answer.headers_mut().remove(http::header::CONTENT_LENGTH);
+        response.headers_mut().remove(http::header::CONTENT_LENGTH);
     }
-    answer
+    response
 }
 
 /// Whether a refused or failed request ran, as the client is told.
@@ -128,21 +128,21 @@
     reason: &str,
     retry_after: Option<Duration>,
 ) -> Response<ResponseBody> {
-    let ran_word = match ran {
+    let ran_text = match ran {
         RanStatus::No => "no",
         RanStatus::Unknown => "unknown",
     };
     let body = json!({
         "code": code.number(),
         "name": code.name(),
-        "ran": ran_word,
+        "ran": ran_text,
         "message": reason,
     });
-    let mut answer = Response::new(ResponseBody::whole(Bytes::from(body.to_string())));
+    let mut response = Response::new(ResponseBody::full(Bytes::from(body.to_string())));
     let status = StatusCode::from_u16(code.http_status());
-    *answer.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    *answer.headers_mut() = refusal_headers(attempt, retry_after);
-    let json = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(CONTENT_TYPE, json);
-    answer
+    *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    *response.headers_mut() = refusal_headers(attempt, retry_after);
+    let json_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, json_type);
+    response
 }
--- a/packages/turnford-serve/src/availability.rs
+++ b/packages/turnford-serve/src/availability.rs
@@ -17,20 +17,20 @@
 use crate::wait_queue::QueuePosition;
 
 /// Part of the time until a target takes calls over which those that are refused together come back.
-const RETURN_SPREAD: f64 = 0.25;
+const RETRY_SPREAD: f64 = 0.25;
 
 /// Longest time to come back that is told: a longer rest may end early with its target's process, and
 /// other targets may be there by then.
-const LONGEST_BACK: Duration = Duration::from_secs(30);
+const RETRY_AFTER_CAP: Duration = Duration::from_secs(30);
 
 /// Longest pause between looks whether it is a request's turn, where no end of a rest is known.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why a request does not wait for a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AvailabilityError {
     /// No target is left that does not leave.
-    Nowhere,
+    NoTarget,
     /// Its time is over before one takes it; when to come back.
     TooLate(Duration),
 }
@@ -40,18 +40,18 @@
 /// # Errors
 ///
 /// Returns why it can't.
-pub(crate) fn check_opening(
+pub(crate) fn check_availability(
     traffic: &Traffic,
     record: &RequestRecord,
-    desk: &ServiceContext,
+    context: &ServiceContext,
 ) -> Result<(), AvailabilityError> {
     let now = traffic.shared.now();
-    if desk.line.is_empty() && desk.targets.borrow().has_open(now, &[]) {
+    if context.wait_queue.is_empty() && context.targets.borrow().has_open(now, &[]) {
         return Ok(());
     }
     let ranks = (record.rank, record.route.rank);
-    let ahead = desk.line.ahead_of(ranks, record.due());
-    forecast_turn(traffic, record, desk, &[], ahead).map(|_| ())
+    let ahead = context.wait_queue.ahead_of(ranks, record.due());
+    forecast_availability(traffic, record, context, &[], ahead).map(|_| ())
 }
 
 /// Waits until a target beside those tried takes the request. The place in the line is kept until the
@@ -60,77 +60,84 @@
 /// # Errors
 ///
 /// Returns why it does not wait any longer.
-pub(crate) async fn wait_turn(
+pub(crate) async fn wait_for_target(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     tried: &[TargetId],
 ) -> Result<Option<QueuePosition>, AvailabilityError> {
     let has_open = || {
         let now = traffic.shared.now();
-        desk.targets.borrow().has_open(now, tried)
+        context.targets.borrow().has_open(now, tried)
     };
-    if desk.line.is_empty() && has_open() {
+    if context.wait_queue.is_empty() && has_open() {
         return Ok(None);
     }
     let ranks = (record.rank, record.route.rank);
-    let place = desk.line.enter(ranks, record.due());
-    let mut is_noted = false;
+    let position = context.wait_queue.join(ranks, record.due());
+    let mut is_traced = false;
     loop {
-        let ahead = place.ahead();
+        let ahead = position.ahead();
         if ahead == 0 && has_open() {
-            return Ok(Some(place));
+            return Ok(Some(position));
         }
-        let opening = forecast_turn(traffic, record, desk, tried, ahead)?;
-        if !is_noted {
-            is_noted = true;
-            let span = opening.saturating_sub(traffic.shared.now());
-            record.note(format_args!(
+        let available_at = forecast_availability(traffic, record, context, tried, ahead)?;
+        if !is_traced {
+            is_traced = true;
+            let span = available_at.saturating_sub(traffic.shared.now());
+            record.trace(format_args!(
                 "all targets rest, {ahead} go before, the first opens in {}ms",
                 span.as_millis()
             ));
         }
-        let left = opening.saturating_sub(traffic.shared.now());
-        let look = async {
-            Timer::after(if left.is_zero() { LOOK_PAUSE } else { left }).await;
+        let remaining = available_at.saturating_sub(traffic.shared.now());
+        let poll = async {
+            Timer::after(if remaining.is_zero() {
+                MAX_POLL_INTERVAL
+            } else {
+                remaining
+            })
+            .await;
         };
-        place.wait_woken().or(look).await;
+        position.wait_wakeup().or(poll).await;
     }
 }
 
 /// Returns when the first target takes calls, if a request with so many before it can be served then.
-fn forecast_turn(
+fn forecast_availability(
     traffic: &Traffic,
     record: &RequestRecord,
-    desk: &ServiceContext,
+    context: &ServiceContext,
     tried: &[TargetId],
     ahead: usize,
 ) -> Result<Moment, AvailabilityError> {
     let now = traffic.shared.now();
-    let board = desk.targets.borrow();
-    let opening = board
+    let table = context.targets.borrow();
+    let available_at = table
         .opens_at(now, tried)
-        .ok_or(AvailabilityError::Nowhere)?;
-    let last = record.last_span.get();
-    let rounds = ahead as f64 / f64::from(board.total_slots(tried).max(1));
-    let turn = opening.saturating_add(last.mul_f64(rounds));
-    if turn.saturating_add(last) <= record.serve_by() {
-        return Ok(opening);
+        .ok_or(AvailabilityError::NoTarget)?;
+    let final_call = record.final_call_time.get();
+    let rounds = ahead as f64 / f64::from(table.total_slots(tried).max(1));
+    let served_at = available_at.saturating_add(final_call.mul_f64(rounds));
+    if served_at.saturating_add(final_call) <= record.first_event_deadline() {
+        return Ok(available_at);
     }
-    Err(AvailabilityError::TooLate(back_span(traffic, turn)))
+    Err(AvailabilityError::TooLate(spread_retry_after(
+        traffic, served_at,
+    )))
 }
 
 /// Returns when clients should come back that no target took.
-pub(crate) fn return_span(traffic: &Traffic, desk: &ServiceContext) -> Duration {
+pub(crate) fn suggest_retry_after(traffic: &Traffic, context: &ServiceContext) -> Duration {
     let now = traffic.shared.now();
-    let opening = desk.targets.borrow().opens_at(now, &[]);
-    opening.map_or(RETRY_AFTER, |at| back_span(traffic, at))
+    let available_at = context.targets.borrow().opens_at(now, &[]);
+    available_at.map_or(RETRY_AFTER, |at| spread_retry_after(traffic, at))
 }
 
 /// Returns when a client should come back for whom there is room at a moment. Those that are refused
 /// together come back one after the other.
-fn back_span(traffic: &Traffic, at: Moment) -> Duration {
-    let left = at.saturating_sub(traffic.shared.now()).min(LONGEST_BACK);
-    let spread = left.mul_f64(RETURN_SPREAD * traffic.random());
-    (left + spread).max(RETRY_AFTER)
+fn spread_retry_after(traffic: &Traffic, at: Moment) -> Duration {
+    let remaining = at.saturating_sub(traffic.shared.now()).min(RETRY_AFTER_CAP);
+    let spread = remaining.mul_f64(RETRY_SPREAD * traffic.random());
+    (remaining + spread).max(RETRY_AFTER)
 }
--- a/packages/turnford-serve/src/backoff.rs
+++ b/packages/turnford-serve/src/backoff.rs
@@ -21,58 +21,58 @@
 
 /// Part of a rest that a node adds at most: nodes that were told the same don't come back in the same
 /// moment.
-const LATER_PART: f64 = 0.1;
+const BACKOFF_JITTER: f64 = 0.1;
 
 /// Longest time that a node adds.
-const LONGEST_LATER: Duration = Duration::from_millis(500);
+const MAX_BACKOFF_JITTER: Duration = Duration::from_millis(500);
 
 /// Notes that a target wants nothing of this node for so long.
 pub(crate) fn apply_backoff(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     target: &TargetSpec,
-    rest: Duration,
+    backoff: Duration,
 ) {
     let now = traffic.shared.now();
-    let later = rest
-        .min(LONGEST_LATER.div_f64(LATER_PART))
-        .mul_f64(LATER_PART);
-    let span = rest.saturating_add(later.mul_f64(traffic.random()));
-    let mut board = desk.targets.borrow_mut();
-    board.record_backoff(now, &target.id, target.process_start, span);
-    drop(board);
-    desk.line.wake_first();
-    if desk.spec.borrow().batch.is_some() {
-        tell_admitters(traffic, target, span);
+    let jitter = backoff
+        .min(MAX_BACKOFF_JITTER.div_f64(BACKOFF_JITTER))
+        .mul_f64(BACKOFF_JITTER);
+    let span = backoff.saturating_add(jitter.mul_f64(traffic.random()));
+    let mut table = context.targets.borrow_mut();
+    table.record_backoff(now, &target.id, target.process_start, span);
+    drop(table);
+    context.wait_queue.wake_first();
+    if context.spec.borrow().batch.is_some() {
+        notify_admitters(traffic, target, span);
     }
 }
 
 /// Tells the nodes that admit requests to stages.
-fn tell_admitters(traffic: &Rc<Traffic>, target: &TargetSpec, rest: Duration) {
-    let desks = traffic.all_services();
-    let plain = desks
+fn notify_admitters(traffic: &Rc<Traffic>, target: &TargetSpec, backoff: Duration) {
+    let services = traffic.all_services();
+    let admitting = services
         .iter()
-        .filter(|desk| desk.spec.borrow().batch.is_none());
-    let duties = plain.map(|desk| Duty::Place(desk.spec.borrow().name.to_string()));
+        .filter(|context| context.spec.borrow().batch.is_none());
+    let duties = admitting.map(|context| Duty::Place(context.spec.borrow().name.to_string()));
     let peers: BTreeSet<SocketAddr> = duties
         .filter_map(|duty| traffic.peers.owner_of(&duty))
         .collect();
-    let news = BackoffUpdate {
+    let update = BackoffUpdate {
         service: target.service.to_string(),
         target: target.id.to_string(),
         process_start: target.process_start,
-        backoff_ms: u64::try_from(rest.as_millis()).unwrap_or(u64::MAX),
+        backoff_ms: u64::try_from(backoff.as_millis()).unwrap_or(u64::MAX),
     };
-    notify_peers(&traffic.peers, peers, &WorkRequest::Backoff(news));
+    notify_peers(&traffic.peers, peers, &WorkRequest::Backoff(update));
 }
 
 /// Takes the news of a node that gathers.
-pub(crate) fn answer_backoff(traffic: &Traffic, news: &BackoffUpdate) -> WorkReply {
-    if let Some(desk) = traffic.service(&news.service) {
+pub(crate) fn answer_backoff(traffic: &Traffic, update: &BackoffUpdate) -> WorkReply {
+    if let Some(context) = traffic.service(&update.service) {
         let now = traffic.shared.now();
-        let rest = Duration::from_millis(news.backoff_ms);
-        let mut board = desk.targets.borrow_mut();
-        board.record_batcher_backoff(now, &news.target, news.process_start, rest);
+        let backoff = Duration::from_millis(update.backoff_ms);
+        let mut table = context.targets.borrow_mut();
+        table.record_batcher_backoff(now, &update.target, update.process_start, backoff);
     }
     WorkReply::Ack
 }
--- a/packages/turnford-serve/src/batching.rs
+++ b/packages/turnford-serve/src/batching.rs
@@ -33,98 +33,98 @@
 use crate::traffic::Traffic;
 
 /// Nodes that the pieces of one stage are offered to before this node gathers them itself.
-const GATHERER_TRIES: usize = 2;
+const MAX_PEER_ATTEMPTS: usize = 2;
 
 /// Longest wait for a node to note a release.
-const RELEASE_LIMIT: Duration = Duration::from_millis(500);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A cell of a service by its number.
 #[derive(Clone)]
-pub(crate) struct CellPlace {
-    pub(crate) desk: Rc<ServiceContext>,
-    pub(crate) number: usize,
+pub(crate) struct CellRef {
+    pub(crate) context: Rc<ServiceContext>,
+    pub(crate) index: usize,
 }
 
 /// How the pieces of a stage ended.
-pub(crate) struct PiecesEnd {
+pub(crate) struct PiecesResult {
     pub(crate) outcomes: Vec<PieceOutcome>,
     /// Whether the results that only they needed were given up.
-    pub(crate) gave_up: bool,
+    pub(crate) inputs_released: bool,
 }
 
 /// Runs pieces of one stage of one request, at the node that gathers for their cell. `last_use` are
 /// the results that only these pieces need.
 pub(crate) async fn run_pieces(
     traffic: &Rc<Traffic>,
-    place: &CellPlace,
+    cell_ref: &CellRef,
     works: &[PieceWork],
     last_use: &[PieceResult],
-) -> PiecesEnd {
-    for _ in 0..GATHERER_TRIES {
-        let service = place.desk.spec.borrow().name.to_string();
-        let duty = Duty::Gather(service, place.number);
+) -> PiecesResult {
+    for _ in 0..MAX_PEER_ATTEMPTS {
+        let service = cell_ref.context.spec.borrow().name.to_string();
+        let duty = Duty::Gather(service, cell_ref.index);
         let Some(peer) = traffic.peers.owner_of(&duty) else {
             break;
         };
-        if let Some(end) = ask_peer(traffic, place, works, last_use, peer).await {
-            return end;
+        if let Some(result) = run_at_peer(traffic, cell_ref, works, last_use, peer).await {
+            return result;
         }
     }
-    run_here(traffic, place, works.to_vec(), last_use.to_vec()).await
+    run_locally(traffic, cell_ref, works.to_vec(), last_use.to_vec()).await
 }
 
-async fn run_here(
+async fn run_locally(
     traffic: &Rc<Traffic>,
-    place: &CellPlace,
+    cell_ref: &CellRef,
     works: Vec<PieceWork>,
     last_use: Vec<PieceResult>,
-) -> PiecesEnd {
+) -> PiecesResult {
     let count = works.len();
-    let Some(pieces) = place.desk.cell(place.number) else {
-        return PiecesEnd {
+    let Some(queue) = cell_ref.context.cell(cell_ref.index) else {
+        return PiecesResult {
             outcomes: vec![PieceOutcome::Failed("the service has no targets"); count],
-            gave_up: false,
+            inputs_released: false,
         };
     };
     let inputs = InputTracker::new(traffic, last_use, count);
     let cell = PieceCell {
         traffic: traffic.clone(),
-        desk: place.desk.clone(),
-        pieces,
+        context: cell_ref.context.clone(),
+        queue,
     };
-    let waits = cell.submit(works, &inputs);
+    let pending = cell.submit(works, &inputs);
     let mut outcomes = Vec::with_capacity(count);
-    for wait in &waits {
-        outcomes.push(wait.outcome().await);
+    for piece in &pending {
+        outcomes.push(piece.outcome().await);
     }
-    PiecesEnd {
+    PiecesResult {
         outcomes,
-        gave_up: inputs.has_given_up(),
+        inputs_released: inputs.is_released(),
     }
 }
 
 /// Hands pieces to another node; `None` if it gave no answer.
-async fn ask_peer(
+async fn run_at_peer(
     traffic: &Rc<Traffic>,
-    place: &CellPlace,
+    cell_ref: &CellRef,
     works: &[PieceWork],
     last_use: &[PieceResult],
     peer: SocketAddr,
-) -> Option<PiecesEnd> {
+) -> Option<PiecesResult> {
     let now = traffic.shared.now();
     let first = works.first()?;
     let limit = first.deadline.saturating_sub(now);
-    let mut ask = piece_ask(place, works, now)?;
-    ask.last_use = input_entries(traffic, last_use);
-    let request = WorkRequest::Pieces(ask);
-    let state = traffic.peers.state(peer);
-    let _waiting = WaitingGuard::new(&traffic.peers, peer, &state);
+    let mut piece_request = encode_piece_request(cell_ref, works, now)?;
+    piece_request.last_use = input_entries(traffic, last_use);
+    let request = WorkRequest::Pieces(piece_request);
+    let peer_state = traffic.peers.state(peer);
+    let _waiting = WaitingGuard::new(&traffic.peers, peer, &peer_state);
     let call = async {
         let reply = traffic.peers.client.call(peer, &request, limit).await;
         Some(reply)
     };
     let watch = async {
-        while state.down_until.get() <= traffic.shared.now() {
+        while peer_state.down_until.get() <= traffic.shared.now() {
             Timer::after(SILENCE_TIMEOUT).await;
         }
         None
@@ -136,45 +136,51 @@
             released,
         })) if results.len() == works.len() => {
             let now = traffic.shared.now();
-            state.heard.set(now);
-            place.desk.note_waits(now, place.number, &waits);
+            peer_state.heard.set(now);
+            cell_ref.context.record_waits(now, cell_ref.index, &waits);
             let results = results.into_iter();
-            let outcomes = results.map(|end| outcome_of(place, peer, end)).collect();
-            Some(PiecesEnd {
+            let outcomes = results
+                .map(|result| decode_outcome(cell_ref, peer, result))
+                .collect();
+            Some(PiecesResult {
                 outcomes,
-                gave_up: released,
+                inputs_released: released,
             })
         }
         Some(Ok(_)) => {
             log::info!("node at {peer} takes no pieces");
-            traffic.peers.mark_refusing(&state);
+            traffic.peers.mark_refusing(&peer_state);
             None
         }
         Some(Err(PeerError::Timeout)) => {
             // The request's time is over, which says nothing of the node.
-            Some(PiecesEnd {
+            Some(PiecesResult {
                 outcomes: vec![PieceOutcome::Failed("its time was over"); works.len()],
-                gave_up: false,
+                inputs_released: false,
             })
         }
-        Some(Err(fault)) => {
-            log::info!("node at {peer} lost pieces: {fault}");
-            traffic.peers.mark_down(&state);
+        Some(Err(error)) => {
+            log::info!("node at {peer} lost pieces: {error}");
+            traffic.peers.mark_down(&peer_state);
             None
         }
         None => None,
     }
 }
 
-fn piece_ask(place: &CellPlace, works: &[PieceWork], now: Moment) -> Option<PieceRequest> {
+fn encode_piece_request(
+    cell_ref: &CellRef,
+    works: &[PieceWork],
+    now: Moment,
+) -> Option<PieceRequest> {
     let first = works.first()?;
     let millis = |until: Moment| {
         let left = until.saturating_sub(now).as_millis();
         u64::try_from(left).unwrap_or(u64::MAX)
     };
     Some(PieceRequest {
-        service: place.desk.spec.borrow().name.to_string(),
-        cell: u32::try_from(place.number).unwrap_or(u32::MAX),
+        service: cell_ref.context.spec.borrow().name.to_string(),
+        cell: u32::try_from(cell_ref.index).unwrap_or(u32::MAX),
         attempt: first.attempt.to_string(),
         digest: first.digest.0,
         stage: u32::try_from(first.stage).unwrap_or(u32::MAX),
@@ -205,11 +211,11 @@
 
 /// Returns the results that another node's pieces need for the last time, those whose targets are
 /// known here.
-fn asked_inputs(traffic: &Traffic, entries: &[InputEntry]) -> Vec<PieceResult> {
+fn decode_inputs(traffic: &Traffic, entries: &[InputEntry]) -> Vec<PieceResult> {
     let own = traffic.shared.settings.work;
     let known = entries.iter().filter_map(|entry| {
-        let desk = traffic.service(&entry.service)?;
-        let producer = desk.targets.borrow().get(&entry.target)?.clone();
+        let context = traffic.service(&entry.service)?;
+        let producer = context.targets.borrow().get(&entry.target)?.clone();
         let gatherer = (entry.batcher != own).then_some(entry.batcher);
         Some(PieceResult {
             handle: entry.handle.clone(),
@@ -220,13 +226,13 @@
     known.collect()
 }
 
-fn outcome_of(place: &CellPlace, peer: SocketAddr, end: PieceReplyItem) -> PieceOutcome {
-    match end {
+fn decode_outcome(cell_ref: &CellRef, peer: SocketAddr, result: PieceReplyItem) -> PieceOutcome {
+    match result {
         PieceReplyItem::Completed { handle, target } => {
             // A target that left the list meanwhile keeps its result; the input's fetch will tell.
-            let producer = place.desk.targets.borrow().get(&target).cloned();
+            let producer = cell_ref.context.targets.borrow().get(&target).cloned();
             match producer {
-                Some(producer) => PieceOutcome::Made(PieceResult {
+                Some(producer) => PieceOutcome::Completed(PieceResult {
                     handle,
                     producer,
                     gatherer: Some(peer),
@@ -234,9 +240,9 @@
                 None => PieceOutcome::Failed("its target is gone"),
             }
         }
-        PieceReplyItem::InputMissing => PieceOutcome::InputGone,
+        PieceReplyItem::InputMissing => PieceOutcome::InputMissing,
         PieceReplyItem::Failed => PieceOutcome::Failed("the gathering node got no result"),
-        PieceReplyItem::NotScheduled => PieceOutcome::NotOffered,
+        PieceReplyItem::NotScheduled => PieceOutcome::NotScheduled,
     }
 }
 
@@ -257,51 +263,51 @@
         service: first.producer.service.to_string(),
         results: ids.collect(),
     };
-    let reply = traffic.peers.call(peer, &request, RELEASE_LIMIT).await;
+    let reply = traffic.peers.call(peer, &request, RELEASE_TIMEOUT).await;
     reply == Some(WorkReply::Ack)
 }
 
 /// Answers pieces that another node hands over.
-pub(crate) async fn answer_pieces(traffic: &Rc<Traffic>, ask: PieceRequest) -> WorkReply {
-    let Some(desk) = traffic.service(&ask.service) else {
+pub(crate) async fn answer_pieces(traffic: &Rc<Traffic>, piece_request: PieceRequest) -> WorkReply {
+    let Some(context) = traffic.service(&piece_request.service) else {
         return WorkReply::Refused;
     };
-    let place = CellPlace {
-        desk,
-        number: ask.cell as usize,
+    let cell_ref = CellRef {
+        context,
+        index: piece_request.cell as usize,
     };
-    let works = asked_works(&ask, traffic.shared.now());
+    let works = decode_works(&piece_request, traffic.shared.now());
     let now = traffic.shared.now();
-    place
-        .desk
+    cell_ref
+        .context
         .allowance
         .borrow_mut()
         .record_first_attempts(now, works.len());
-    let inputs = asked_inputs(traffic, &ask.last_use);
+    let inputs = decode_inputs(traffic, &piece_request.last_use);
     // What is not known here is given up by the node that asks.
-    let knows_all = inputs.len() == ask.last_use.len();
-    let end = run_here(traffic, &place, works, inputs).await;
-    let released = end.gave_up && knows_all;
-    let ends = end.outcomes.into_iter().map(|outcome| match outcome {
-        PieceOutcome::Made(result) => PieceReplyItem::Completed {
+    let knows_all = inputs.len() == piece_request.last_use.len();
+    let result = run_locally(traffic, &cell_ref, works, inputs).await;
+    let released = result.inputs_released && knows_all;
+    let items = result.outcomes.into_iter().map(|outcome| match outcome {
+        PieceOutcome::Completed(result) => PieceReplyItem::Completed {
             handle: result.handle,
             target: result.producer.id.to_string(),
         },
-        PieceOutcome::InputGone => PieceReplyItem::InputMissing,
+        PieceOutcome::InputMissing => PieceReplyItem::InputMissing,
         PieceOutcome::Failed(_) => PieceReplyItem::Failed,
-        PieceOutcome::NotOffered => PieceReplyItem::NotScheduled,
+        PieceOutcome::NotScheduled => PieceReplyItem::NotScheduled,
     });
     WorkReply::Pieces {
-        results: ends.collect(),
-        waits: told_waits(traffic, &place),
+        results: items.collect(),
+        waits: encode_waits(traffic, &cell_ref),
         released,
     }
 }
 
 /// Returns the milliseconds that new pieces would wait at this node, by account rank.
-fn told_waits(traffic: &Traffic, place: &CellPlace) -> Vec<u32> {
+fn encode_waits(traffic: &Traffic, cell_ref: &CellRef) -> Vec<u32> {
     let now = traffic.shared.now();
-    let waits = place.desk.own_waits(now, place.number);
+    let waits = cell_ref.context.local_waits(now, cell_ref.index);
     let millis = waits.iter().map(|wait| wait.as_millis());
     millis
         .map(|millis| u32::try_from(millis).unwrap_or(u32::MAX))
@@ -309,34 +315,34 @@
 }
 
 /// Returns the time that a new piece of an account rank would wait for its call, as far as known.
-pub(crate) fn expected_wait(traffic: &Traffic, place: &CellPlace, rank: u8) -> Duration {
+pub(crate) fn expected_wait(traffic: &Traffic, cell_ref: &CellRef, rank: u8) -> Duration {
     let now = traffic.shared.now();
-    let service = place.desk.spec.borrow().name.to_string();
-    let duty = Duty::Gather(service, place.number);
+    let service = cell_ref.context.spec.borrow().name.to_string();
+    let duty = Duty::Gather(service, cell_ref.index);
     let rank = usize::from(rank).min(RANK_COUNT - 1);
     match traffic.peers.owner_of(&duty) {
-        Some(_) => place.desk.told_wait(now, place.number, rank),
-        None => place.desk.own_waits(now, place.number)[rank],
+        Some(_) => cell_ref.context.reported_wait(now, cell_ref.index, rank),
+        None => cell_ref.context.local_waits(now, cell_ref.index)[rank],
     }
 }
 
-fn asked_works(ask: &PieceRequest, now: Moment) -> Vec<PieceWork> {
+fn decode_works(piece_request: &PieceRequest, now: Moment) -> Vec<PieceWork> {
     let first = PieceWork {
-        digest: RequestDigest(ask.digest),
+        digest: RequestDigest(piece_request.digest),
         is_suspect: false,
-        attempt: ask.attempt.as_str().into(),
-        stage: ask.stage as usize,
+        attempt: piece_request.attempt.as_str().into(),
+        stage: piece_request.stage as usize,
         piece: 0,
-        piece_key: ask.piece_key.as_deref().map(Into::into),
-        inputs: ask.inputs.clone().into(),
-        deadline: now + Duration::from_millis(ask.remaining_ms),
-        due: now + Duration::from_millis(ask.due_ms),
-        ranks: ask.ranks,
-        result_bytes: ask.result_bytes,
-        hall: ask.hall.as_deref().map(Into::into),
-        hall_deadline: now + Duration::from_millis(u64::from(ask.hall_wait_ms)),
+        piece_key: piece_request.piece_key.as_deref().map(Into::into),
+        inputs: piece_request.inputs.clone().into(),
+        deadline: now + Duration::from_millis(piece_request.remaining_ms),
+        due: now + Duration::from_millis(piece_request.due_ms),
+        ranks: piece_request.ranks,
+        result_bytes: piece_request.result_bytes,
+        hall: piece_request.hall.as_deref().map(Into::into),
+        hall_deadline: now + Duration::from_millis(u64::from(piece_request.hall_wait_ms)),
     };
-    let works = ask.pieces.iter().map(|&piece| PieceWork {
+    let works = piece_request.pieces.iter().map(|&piece| PieceWork {
         piece,
         ..first.clone()
     });
@@ -345,12 +351,12 @@
 
 /// Answers a release by another node.
 pub(crate) fn answer_release(traffic: &Rc<Traffic>, service: &str, results: Vec<(String, String)>) {
-    let Some(desk) = traffic.service(service) else {
+    let Some(context) = traffic.service(service) else {
         return;
     };
-    let board = desk.targets.borrow();
+    let table = context.targets.borrow();
     let known = results.into_iter().filter_map(|(target, handle)| {
-        let producer = board.get(&target)?.clone();
+        let producer = table.get(&target)?.clone();
         Some(PieceResult {
             handle,
             producer,
@@ -358,6 +364,6 @@
         })
     });
     let known = known.collect();
-    drop(board);
+    drop(table);
     release_results(traffic, known);
 }
--- a/packages/turnford-serve/src/call.rs
+++ b/packages/turnford-serve/src/call.rs
@@ -21,7 +21,7 @@
 use turnford_policy::TargetSpec;
 
 use crate::metrics::ServiceEvent;
-use crate::service_context::FlightGuard;
+use crate::service_context::InFlightGuard;
 use crate::service_context::ServiceContext;
 use crate::signals::process_signals;
 use crate::traffic::Traffic;
@@ -29,19 +29,19 @@
 
 /// Longest time to open a connection to a target. One lost opening packet is sent again after a
 /// second, and another target is faster than that.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Rest that a target is trusted with where it does not say when it closes a connection.
-const DEFAULT_KEEP: Duration = Duration::from_millis(700);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(700);
 
 /// Part of the rest that a target says, so that a request does not cross its close.
-const KEEP_PART: f64 = 0.6;
+const KEEP_ALIVE_RATIO: f64 = 0.6;
 
 /// Longest refusal that is read to its end so that the connection can be used again, in bytes.
-const REFUSAL_LIMIT: usize = 16 * 1024;
+const MAX_REFUSAL_BYTES: usize = 16 * 1024;
 
 /// Longest time for the body of a refusal.
-const REFUSAL_SPAN: Duration = Duration::from_millis(200);
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Why a call gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,12 +83,12 @@
 /// A target's answer whose body is still to come.
 pub(crate) struct TargetResponse {
     pub(crate) parts: Parts,
-    pub(crate) facts: ResponseAttributes,
+    pub(crate) attributes: ResponseAttributes,
     /// Whether it says that its target leaves.
-    pub(crate) leaves: bool,
+    pub(crate) is_leaving: bool,
     pub(crate) body: Incoming,
-    link: HttpConnection,
-    _flight: FlightGuard,
+    connection: HttpConnection,
+    _in_flight: InFlightGuard,
 }
 
 impl TargetResponse {
@@ -100,102 +100,108 @@
     ) -> Result<(Parts, Bytes), CallError> {
         let body = Limited::new(self.body, limit).collect().await;
         let body = body.map_err(|_| CallError::Disconnected("the answer broke off"))?;
-        lay_down(traffic, self.link, &self.facts);
+        recycle_connection(traffic, self.connection, &self.attributes);
         Ok((self.parts, body.to_bytes()))
     }
 
     /// Takes the answer apart for a body that is passed on as it comes.
-    pub(crate) fn into_stream(self) -> (Parts, Incoming, StreamRest) {
-        let rest = StreamRest {
-            link: self.link,
-            facts: self.facts,
-            _flight: self._flight,
+    pub(crate) fn into_stream(self) -> (Parts, Incoming, StreamRemainder) {
+        let remainder = StreamRemainder {
+            connection: self.connection,
+            attributes: self.attributes,
+            _in_flight: self._in_flight,
         };
-        (self.parts, self.body, rest)
+        (self.parts, self.body, remainder)
     }
 }
 
 /// What has to be done after the body of a stream ended.
-pub(crate) struct StreamRest {
-    link: HttpConnection,
-    facts: ResponseAttributes,
-    _flight: FlightGuard,
+pub(crate) struct StreamRemainder {
+    connection: HttpConnection,
+    attributes: ResponseAttributes,
+    _in_flight: InFlightGuard,
 }
 
-impl StreamRest {
+impl StreamRemainder {
     /// Lays the connection down for reuse.
     pub(crate) fn finish(self, traffic: &Traffic) {
-        lay_down(traffic, self.link, &self.facts);
+        recycle_connection(traffic, self.connection, &self.attributes);
     }
 }
 
 /// Lays a connection down until its target may close it.
-fn lay_down(traffic: &Traffic, link: HttpConnection, facts: &ResponseAttributes) {
-    if facts.closes {
+fn recycle_connection(
+    traffic: &Traffic,
+    connection: HttpConnection,
+    attributes: &ResponseAttributes,
+) {
+    if attributes.closes {
         return;
     }
-    let keep = facts
+    let keep_alive = attributes
         .keep_alive
-        .map_or(DEFAULT_KEEP, |keep| keep.mul_f64(KEEP_PART));
+        .map_or(DEFAULT_KEEP_ALIVE, |keep_alive| {
+            keep_alive.mul_f64(KEEP_ALIVE_RATIO)
+        });
     let now = traffic.shared.now();
-    traffic.shelf.borrow_mut().put(now, link, keep);
+    traffic.pool.borrow_mut().put(now, connection, keep_alive);
 }
 
 /// Sends a request to a target and waits for the head of its answer.
 pub(crate) async fn call_target(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     target: &TargetSpec,
     request: Request<Full<Bytes>>,
     purpose: CallPurpose<'_>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<TargetResponse, CallError> {
     let attempt = purpose.attempt();
-    let flight = FlightGuard::new(desk, target);
-    let mut link = open_link(traffic, desk, target).await?;
+    let in_flight = InFlightGuard::new(context, target);
+    let mut connection = open_connection(traffic, context, target).await?;
     // The last moment before it is sent: it may have waited, and another node may have chosen its place.
     let now = traffic.shared.now();
-    if let Some(fault) = desk.closed_reason(now, &target.id, purpose) {
-        return Err(fault);
+    if let Some(error) = context.rejection_reason(now, &target.id, purpose) {
+        return Err(error);
     }
     traffic
         .shared
         .metrics
         .record_service_event(&target.service, ServiceEvent::Sent);
     let late = async {
-        let until = traffic.shared.now() + limit;
+        let until = traffic.shared.now() + timeout;
         wait_until(&traffic.shared, until).await;
         None
     };
-    let sent = async { Some(link.send(request).await) };
-    let answer = match sent.or(late).await {
-        Some(Ok(answer)) => answer,
+    let sent = async { Some(connection.send(request).await) };
+    let response = match sent.or(late).await {
+        Some(Ok(response)) => response,
         Some(Err(HttpError::NotConnected)) => {
             return Err(CallError::NotSent("the connection was closed"))
         }
         Some(Err(_)) => return Err(CallError::Disconnected("the connection broke")),
         None => return Err(CallError::Unknown("no answer in time")),
     };
-    let (parts, body) = answer.into_parts();
-    let word = process_signals(traffic, desk, target, &parts, attempt, now);
-    let facts = decode_response(&parts).map_err(|problem| {
+    let (parts, body) = response.into_parts();
+    let signal = process_signals(traffic, context, target, &parts, attempt, now);
+    let attributes = decode_response(&parts).map_err(|problem| {
         log::warn!("target={} answer refused: {problem}", target.id);
         CallError::Unknown("the answer's head makes no sense")
     })?;
-    if let Some(mark) = facts.load {
+    if let Some(sample) = attributes.load {
         let now = traffic.shared.now();
-        let mut board = desk.targets.borrow_mut();
-        board.record_load(now, &target.id, mark);
+        let mut table = context.targets.borrow_mut();
+        table.record_load(now, &target.id, sample);
     }
-    if attempt.is_some() && !facts.not_run && facts.attempt.as_deref() != attempt {
-        return Err(other_attempt(traffic, target, &facts));
+    if attempt.is_some() && !attributes.not_run && attributes.attempt.as_deref() != attempt {
+        return Err(attempt_mismatch(traffic, target, &attributes));
     }
-    let is_whole = attempt.is_none() || (facts.is_signed && !facts.is_encoded);
-    if parts.status.is_success() && !is_whole {
+    let is_complete = attempt.is_none() || (attributes.is_signed && !attributes.is_encoded);
+    if parts.status.is_success() && !is_complete {
         return Err(CallError::Unknown("the answer is not the target's own"));
     }
-    if facts.not_run {
-        drain_refusal(traffic, link, &facts, body).await;
+    if attributes.not_run {
+        drain_refusal(traffic, connection, &attributes, body).await;
         traffic
             .shared
             .metrics
@@ -204,20 +210,24 @@
     }
     Ok(TargetResponse {
         parts,
-        facts,
-        leaves: word.is_leaving,
+        attributes,
+        is_leaving: signal.is_leaving,
         body,
-        link,
-        _flight: flight,
+        connection,
+        _in_flight: in_flight,
     })
 }
 
 /// Notes an answer that belongs to another request; its connection is spoiled.
-fn other_attempt(traffic: &Traffic, target: &TargetSpec, facts: &ResponseAttributes) -> CallError {
+fn attempt_mismatch(
+    traffic: &Traffic,
+    target: &TargetSpec,
+    attributes: &ResponseAttributes,
+) -> CallError {
     log::warn!(
         "target={} dropped an answer for request={}",
         target.id,
-        facts.attempt.as_deref().unwrap_or("-")
+        attributes.attempt.as_deref().unwrap_or("-")
     );
     traffic
         .shared
@@ -227,25 +237,24 @@
 }
 
 /// Returns a connection to a target, one at rest where there is one.
-async fn open_link(
+async fn open_connection(
     traffic: &Traffic,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     target: &TargetSpec,
 ) -> Result<HttpConnection, CallError> {
-    let rested =
-        traffic
-            .shelf
-            .borrow_mut()
-            .take(traffic.shared.now(), target.address, Duration::MAX);
-    if let Some(link) = rested {
-        return Ok(link);
+    let idle = traffic
+        .pool
+        .borrow_mut()
+        .take(traffic.shared.now(), target.address, Duration::MAX);
+    if let Some(connection) = idle {
+        return Ok(connection);
     }
-    let opened = HttpConnection::open(&traffic.executor, target.address, CONNECT_LIMIT).await;
+    let opened = HttpConnection::open(&traffic.executor, target.address, CONNECT_TIMEOUT).await;
     let metrics = &traffic.shared.metrics;
     metrics.record_service_event(&target.service, ServiceEvent::Connected);
     opened.map_err(|_| {
         let now = traffic.shared.now();
-        desk.targets.borrow_mut().record_refusal(now, &target.id);
+        context.targets.borrow_mut().record_refusal(now, &target.id);
         CallError::NotSent("no connection to the target")
     })
 }
@@ -253,19 +262,19 @@
 /// Reads the rest of a refusal, so that its connection can be used again.
 async fn drain_refusal(
     traffic: &Traffic,
-    link: HttpConnection,
-    facts: &ResponseAttributes,
+    connection: HttpConnection,
+    attributes: &ResponseAttributes,
     body: Incoming,
 ) {
     let read = async {
-        let body = Limited::new(body, REFUSAL_LIMIT).collect().await;
+        let body = Limited::new(body, MAX_REFUSAL_BYTES).collect().await;
         body.is_ok()
     };
     let late = async {
-        Timer::after(REFUSAL_SPAN).await;
+        Timer::after(REFUSAL_TIMEOUT).await;
         false
     };
     if read.or(late).await {
-        lay_down(traffic, link, facts);
+        recycle_connection(traffic, connection, attributes);
     }
 }
--- a/packages/turnford-serve/src/forward.rs
+++ b/packages/turnford-serve/src/forward.rs
@@ -21,7 +21,7 @@
 use crate::answer::proxied_response;
 use crate::answer::RanStatus;
 use crate::answer::ResponseBody;
-use crate::availability::return_span;
+use crate::availability::suggest_retry_after;
 use crate::call::call_target;
 use crate::call::CallError;
 use crate::call::CallPurpose;
@@ -35,8 +35,8 @@
 use crate::placement::PlacementOptions;
 use crate::placement::PlacementOutcome;
 use crate::record::RequestRecord;
+use crate::request::refuse_backoff;
 use crate::request::refuse_limited;
-use crate::request::refuse_resting;
 use crate::request::refuse_suspect;
 use crate::results::StageResults;
 use crate::service_context::ServiceContext;
@@ -46,18 +46,18 @@
 
 /// Largest answer that is held to its end before the client gets it, in bytes. Nothing else bounds
 /// answers.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Most targets that a request looks at without reaching one: more than are down together in
 /// ordinary times.
-const UNREACHED_LIMIT: usize = 8;
+const MAX_UNREACHED: usize = 8;
 
 /// Times that a request asks again for a call of a target whose limit was used up when it was to be sent.
-const LIMITED_TRIES: usize = 3;
+const MAX_LIMITED_RETRIES: usize = 3;
 
 /// Time after which a target has fetched the inputs of a request that it was sent: it does so before
 /// it reads the prompt.
-const FETCH_SPAN: Duration = Duration::from_millis(80);
+const INPUT_FETCH_TIME: Duration = Duration::from_millis(80);
 
 /// Time to come back after a refusal by which a failed target has been replaced or has recovered.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -65,22 +65,22 @@
 /// A request with what its stages gave.
 pub(crate) struct ForwardJob<'a> {
     pub(crate) record: &'a Rc<RequestRecord>,
-    pub(crate) desk: &'a Rc<ServiceContext>,
+    pub(crate) context: &'a Rc<ServiceContext>,
     pub(crate) parts: &'a Parts,
     pub(crate) body: &'a Bytes,
     pub(crate) results: &'a StageResults,
 }
 
 /// How the call ended.
-pub(crate) enum ForwardEnd {
+pub(crate) enum ForwardOutcome {
     /// The client's answer.
-    Answer(Response<ResponseBody>),
+    Response(Response<ResponseBody>),
     /// A result of the stages was gone; nothing ran.
-    InputGone,
+    InputMissing,
 }
 
 /// What is known of the tries so far.
-struct TryLog {
+struct AttemptLog {
     /// Targets that were tried.
     tried: Vec<TargetId>,
     /// Requests handed over to a target.
@@ -96,8 +96,8 @@
 }
 
 /// Calls targets until one answers or no further one may be called.
-pub(crate) async fn forward(traffic: &Rc<Traffic>, job: &ForwardJob<'_>) -> ForwardEnd {
-    let mut log = TryLog {
+pub(crate) async fn forward(traffic: &Rc<Traffic>, job: &ForwardJob<'_>) -> ForwardOutcome {
+    let mut log = AttemptLog {
         tried: Vec::new(),
         sent: 0,
         may_have_run: false,
@@ -106,89 +106,90 @@
         failed: None,
     };
     let now = traffic.shared.now();
-    job.desk.allowance.borrow_mut().record_first_attempt(now);
-    job.record.note_last_begun();
-    while may_try(traffic, job, &log) {
-        let wish = PlacementOptions {
+    job.context.allowance.borrow_mut().record_first_attempt(now);
+    job.record.record_final_call_start();
+    while may_attempt(traffic, job, &log) {
+        let options = PlacementOptions {
             inputs: &job.results.halls,
             tried: &log.tried,
             // Where a target failed at it, its answer is not held back for another's rest.
             may_wait: !log.may_have_run,
         };
-        let placed = place_request(traffic, job.record, job.desk, &wish).await;
+        let placed = place_request(traffic, job.record, job.context, &options).await;
         let mut placed = match placed {
             PlacementOutcome::Placed(placed) => placed,
             PlacementOutcome::Suspect(refusal) if !log.may_have_run => {
-                return ForwardEnd::Answer(refuse_suspect(job.record, &refusal));
+                return ForwardOutcome::Response(refuse_suspect(job.record, &refusal));
             }
             PlacementOutcome::Suspect(refusal) => {
-                job.record.note(format_args!("{}", refusal.reason()));
+                job.record.trace(format_args!("{}", refusal.reason()));
                 break;
             }
-            PlacementOutcome::TooLate(back_after) if !log.may_have_run => {
-                return ForwardEnd::Answer(refuse_resting(job.record, back_after));
+            PlacementOutcome::TooLate(retry_after) if !log.may_have_run => {
+                return ForwardOutcome::Response(refuse_backoff(job.record, retry_after));
             }
-            PlacementOutcome::Full(back_after) if !log.may_have_run => {
-                return ForwardEnd::Answer(refuse_limited(job.record, back_after));
+            PlacementOutcome::Full(retry_after) if !log.may_have_run => {
+                return ForwardOutcome::Response(refuse_limited(job.record, retry_after));
             }
             PlacementOutcome::TooLate(_)
             | PlacementOutcome::Full(_)
-            | PlacementOutcome::Nowhere => break,
+            | PlacementOutcome::NoTarget => break,
         };
         let target = placed.target.clone();
         log.tried.push(target.id.clone());
-        if log.sent > 0 && !take_repeat(traffic, job, &target) {
+        if log.sent > 0 && !try_take_retry(traffic, job, &target) {
             break;
         }
         // From its first step on the call counts at its target; then the next that waits may look.
-        let call = try_target(traffic, job, &target, placed.turn.take());
+        let call = try_target(traffic, job, &target, placed.position.take());
         match call.await {
-            Ok(answer) => {
-                if let Some(end) = take_answer(traffic, job, &mut log, *placed, answer).await {
+            Ok(response) => {
+                if let Some(end) = handle_response(traffic, job, &mut log, *placed, response).await
+                {
                     return end;
                 }
             }
-            Err(fault) => {
+            Err(error) => {
                 if !matches!(
-                    fault,
+                    error,
                     CallError::Unavailable(_)
                         | CallError::Limited
                         | CallError::NotRun(StatusCode::CONFLICT)
                 ) {
-                    placed.note_refused();
+                    placed.report_refusal();
                 }
-                if let Some(end) = note_fault(traffic, job, &mut log, &target, &fault) {
+                if let Some(end) = record_error(traffic, job, &mut log, &target, &error) {
                     return end;
                 }
-                if matches!(fault, CallError::Disconnected(_)) {
+                if matches!(error, CallError::Disconnected(_)) {
                     // An engine that begins to run a request sends the head of its answer.
-                    let has_started = job.desk.spec.borrow().engine.is_none();
-                    note_break(traffic, job, &log, *placed, has_started).await;
+                    let has_started = job.context.spec.borrow().engine.is_none();
+                    check_crash(traffic, job, &log, *placed, has_started).await;
                 }
             }
         }
     }
-    ForwardEnd::Answer(give_up(traffic, job, log))
+    ForwardOutcome::Response(final_response(traffic, job, log))
 }
 
-fn may_try(traffic: &Traffic, job: &ForwardJob<'_>, log: &TryLog) -> bool {
-    let may_repeat = !log.may_have_run || job.record.route.is_repeatable();
+fn may_attempt(traffic: &Traffic, job: &ForwardJob<'_>, log: &AttemptLog) -> bool {
+    let may_retry = !log.may_have_run || job.record.route.is_repeatable();
     let has_time = traffic.shared.now() < job.record.deadline;
-    may_repeat
+    may_retry
         && has_time
         && log.sent < job.record.route.max_targets
-        && log.unreached < UNREACHED_LIMIT
+        && log.unreached < MAX_UNREACHED
 }
 
 /// Takes a repeat from the service's allowance.
-fn take_repeat(traffic: &Traffic, job: &ForwardJob<'_>, target: &TargetSpec) -> bool {
+fn try_take_retry(traffic: &Traffic, job: &ForwardJob<'_>, target: &TargetSpec) -> bool {
     let now = traffic.shared.now();
-    let allowed = job.desk.allowance.borrow_mut().try_take(now);
+    let allowed = job.context.allowance.borrow_mut().try_take(now);
     let event = if allowed {
         ServiceEvent::Repeated
     } else {
         job.record
-            .note(format_args!("no room to try another target"));
+            .trace(format_args!("no room to try another target"));
         ServiceEvent::RepeatDenied
     };
     traffic
@@ -202,89 +203,95 @@
     traffic: &Rc<Traffic>,
     job: &ForwardJob<'_>,
     target: &TargetSpec,
-    turn: Option<QueuePosition>,
+    position: Option<QueuePosition>,
 ) -> Result<TargetResponse, CallError> {
     let record = job.record;
-    let left = record.left();
-    let is_engine = job.desk.spec.borrow().engine.is_some();
-    let order = ForwardContext {
+    let remaining = record.remaining();
+    let is_engine = job.context.spec.borrow().engine.is_some();
+    let forward_context = ForwardContext {
         instance: &target.id,
-        remaining: left,
+        remaining,
         account: record.account.as_deref(),
         rank: is_engine.then_some(record.rank),
         inputs: &job.results.handles,
         last_event_id: None,
     };
-    let request = encode_forward(job.parts, job.body.clone(), &order).map_err(|problem| {
-        log::warn!("request={} not passed on: {problem}", record.facts.attempt);
-        CallError::NotSent("the request can't be passed on")
-    })?;
-    record.note(format_args!(
+    let request =
+        encode_forward(job.parts, job.body.clone(), &forward_context).map_err(|problem| {
+            log::warn!(
+                "request={} not passed on: {problem}",
+                record.attributes.attempt
+            );
+            CallError::NotSent("the request can't be passed on")
+        })?;
+    record.trace(format_args!(
         "to {} in {}, left {}ms",
         target.id,
         target.hall,
-        left.as_millis()
+        remaining.as_millis()
     ));
-    drop(turn);
-    let purpose = CallPurpose::Request(&record.facts.attempt);
-    let call = call_target(traffic, job.desk, target, request, purpose, left);
+    drop(position);
+    let purpose = CallPurpose::Request(&record.attributes.attempt);
+    let call = call_target(traffic, job.context, target, request, purpose, remaining);
     let fetched = async {
-        Timer::after(FETCH_SPAN).await;
-        job.results.give_up();
+        Timer::after(INPUT_FETCH_TIME).await;
+        job.results.release();
         std::future::pending().await
     };
     call.or(fetched).await
 }
 
 /// Takes a target's answer: to the client, or to try another target.
-async fn take_answer(
+async fn handle_response(
     traffic: &Rc<Traffic>,
     job: &ForwardJob<'_>,
-    log: &mut TryLog,
+    log: &mut AttemptLog,
     placed: PlacedRun,
-    answer: TargetResponse,
-) -> Option<ForwardEnd> {
+    response: TargetResponse,
+) -> Option<ForwardOutcome> {
     let target = placed.target.clone();
     let record = job.record;
-    let status = answer.parts.status;
-    record.note(format_args!("answer {status}"));
+    let status = response.parts.status;
+    record.trace(format_args!("answer {status}"));
     let is_stream = record.route.kind == CallKind::Stream && status.is_success();
     if is_stream {
-        job.desk.note_success(traffic.shared.now(), &target.id);
-        let answer = relay_stream(traffic, job.record, job.desk, placed, answer);
-        return Some(ForwardEnd::Answer(answer));
+        job.context.record_success(traffic.shared.now(), &target.id);
+        let response = relay_stream(traffic, job.record, job.context, placed, response);
+        return Some(ForwardOutcome::Response(response));
     }
-    let (parts, body) = match answer.collect(traffic, ANSWER_LIMIT).await {
+    let (parts, body) = match response.collect(traffic, MAX_RESPONSE_BYTES).await {
         Ok(whole) => whole,
-        Err(fault) => {
-            let end = note_fault(traffic, job, log, &target, &fault);
-            note_break(traffic, job, log, placed, true).await;
+        Err(error) => {
+            let end = record_error(traffic, job, log, &target, &error);
+            check_crash(traffic, job, log, placed, true).await;
             return end;
         }
     };
     log.sent += 1;
     log.may_have_run = true;
-    let passed = proxied_response(&parts, ResponseBody::whole(body));
+    let response = proxied_response(&parts, ResponseBody::full(body));
     if status.is_server_error() {
-        job.desk.targets.borrow_mut().record_failure(&target.id);
+        job.context.targets.borrow_mut().record_failure(&target.id);
         if record.route.is_repeatable() {
-            log.failed = Some(passed);
+            log.failed = Some(response);
             return None;
         }
     } else {
-        job.desk.note_success(traffic.shared.now(), &target.id);
+        job.context.record_success(traffic.shared.now(), &target.id);
     }
-    record.note_head();
+    record.record_first_byte();
     if status.is_success() {
         record_clean_end(traffic, &record.digest.get());
-        job.desk
-            .note_last(record.facts.unique_tokens(), record.last_elapsed());
+        job.context.record_final_call(
+            record.attributes.unique_tokens(),
+            record.final_call_elapsed(),
+        );
     }
-    record.end(passed_code(traffic, job, status), "");
-    Some(ForwardEnd::Answer(passed))
+    record.end(result_code(traffic, job, status), "");
+    Some(ForwardOutcome::Response(response))
 }
 
-fn passed_code(traffic: &Traffic, job: &ForwardJob<'_>, status: StatusCode) -> ResultCode {
+fn result_code(traffic: &Traffic, job: &ForwardJob<'_>, status: StatusCode) -> ResultCode {
     if !status.is_success() {
         return ResultCode::StageFailed;
     }
@@ -296,10 +303,10 @@
 
 /// Has it found out whether the target crashed under the request. Where the request may be sent again,
 /// that waits until it is known.
-async fn note_break(
+async fn check_crash(
     traffic: &Rc<Traffic>,
     job: &ForwardJob<'_>,
-    log: &TryLog,
+    log: &AttemptLog,
     placed: PlacedRun,
     has_started: bool,
 ) {
@@ -310,69 +317,69 @@
         has_started,
         at: traffic.shared.now(),
     };
-    let check = check_broken_call(traffic.clone(), job.desk.clone(), call, placed);
+    let check = check_broken_call(traffic.clone(), job.context.clone(), call, placed);
     let check = traffic.executor.spawn(check);
-    if may_try(traffic, job, log) {
+    if may_attempt(traffic, job, log) {
         check.await;
     } else {
         check.detach();
     }
 }
 
-fn note_fault(
+fn record_error(
     traffic: &Traffic,
     job: &ForwardJob<'_>,
-    log: &mut TryLog,
+    log: &mut AttemptLog,
     target: &TargetSpec,
-    fault: &CallError,
-) -> Option<ForwardEnd> {
+    error: &CallError,
+) -> Option<ForwardOutcome> {
     let now = traffic.shared.now();
-    let mut board = job.desk.targets.borrow_mut();
-    match fault {
+    let mut table = job.context.targets.borrow_mut();
+    match error {
         CallError::Unavailable(reason) => {
             // No try: nothing was to reach the target.
             job.record
-                .note(format_args!("{} not asked: {reason}", target.id));
+                .trace(format_args!("{} not asked: {reason}", target.id));
             if log.sent > 0 {
-                job.desk.allowance.borrow_mut().release();
+                job.context.allowance.borrow_mut().release();
             }
         }
         CallError::Limited => {
             // No try either; there may be a permit again for the same target.
             let metrics = &traffic.shared.metrics;
             metrics.record_service_event(&target.service, ServiceEvent::Limited);
-            job.record.note(format_args!(
+            job.record.trace(format_args!(
                 "{} not asked: its limit is used up",
                 target.id
             ));
             if log.sent > 0 {
-                job.desk.allowance.borrow_mut().release();
+                job.context.allowance.borrow_mut().release();
             }
             log.limited += 1;
-            if log.limited <= LIMITED_TRIES {
+            if log.limited <= MAX_LIMITED_RETRIES {
                 log.tried.retain(|tried| *tried != target.id);
             }
         }
         CallError::NotSent(reason) => {
             log.unreached += 1;
             job.record
-                .note(format_args!("{} not reached: {reason}", target.id));
+                .trace(format_args!("{} not reached: {reason}", target.id));
         }
         CallError::NotRun(status) => {
             log.sent += 1;
             job.record
-                .note(format_args!("{} did not run it: {status}", target.id));
+                .trace(format_args!("{} did not run it: {status}", target.id));
             if *status == StatusCode::CONFLICT {
-                return Some(ForwardEnd::InputGone);
+                return Some(ForwardOutcome::InputMissing);
             }
-            board.record_refusal(now, &target.id);
+            table.record_refusal(now, &target.id);
         }
         CallError::Disconnected(reason) | CallError::Unknown(reason) => {
             log.sent += 1;
             log.may_have_run = true;
             job.record
-                .note(format_args!("{} gave no answer: {reason}", target.id));
-            board.record_failure(&target.id);
+                .trace(format_args!("{} gave no answer: {reason}", target.id));
+            table.record_failure(&target.id);
             let metrics = &traffic.shared.metrics;
             metrics.record_service_event(&target.service, ServiceEvent::CallFailed);
         }
@@ -381,12 +388,16 @@
 }
 
 /// Returns the final answer where no target gave one.
-fn give_up(traffic: &Traffic, job: &ForwardJob<'_>, log: TryLog) -> Response<ResponseBody> {
+fn final_response(
+    traffic: &Traffic,
+    job: &ForwardJob<'_>,
+    log: AttemptLog,
+) -> Response<ResponseBody> {
     let record = job.record;
-    if let Some(answer) = log.failed {
-        record.note_head();
+    if let Some(response) = log.failed {
+        record.record_first_byte();
         record.end(ResultCode::StageFailed, "a target failed at it");
-        return answer;
+        return response;
     }
     let is_late = traffic.shared.now() >= record.deadline;
     let (code, ran, reason) = if log.may_have_run {
@@ -400,6 +411,6 @@
         (ResultCode::NoTarget, RanStatus::No, "no target took it")
     };
     record.end(code, reason);
-    let retry_after = (ran == RanStatus::No).then(|| return_span(traffic, job.desk));
-    error_response(&record.facts.attempt, code, ran, reason, retry_after)
+    let retry_after = (ran == RanStatus::No).then(|| suggest_retry_after(traffic, job.context));
+    error_response(&record.attributes.attempt, code, ran, reason, retry_after)
 }
--- a/packages/turnford-serve/src/inputs.rs
+++ b/packages/turnford-serve/src/inputs.rs
@@ -15,8 +15,8 @@
     traffic: Rc<Traffic>,
     results: Vec<PieceResult>,
     /// Pieces that have not read them yet.
-    left: Cell<usize>,
-    has_given_up: Cell<bool>,
+    unread: Cell<usize>,
+    is_released: Cell<bool>,
 }
 
 impl InputTracker {
@@ -25,27 +25,27 @@
         Rc::new(Self {
             traffic: traffic.clone(),
             results,
-            left: Cell::new(pieces),
-            has_given_up: Cell::new(false),
+            unread: Cell::new(pieces),
+            is_released: Cell::new(false),
         })
     }
 
     /// Notes that the call of a piece is at work.
-    pub(crate) fn note_read(&self) {
-        let left = self.left.get().saturating_sub(1);
-        self.left.set(left);
-        if left == 0 && !self.results.is_empty() && !self.has_given_up.replace(true) {
+    pub(crate) fn record_read(&self) {
+        let unread = self.unread.get().saturating_sub(1);
+        self.unread.set(unread);
+        if unread == 0 && !self.results.is_empty() && !self.is_released.replace(true) {
             release_results(&self.traffic, self.results.clone());
         }
     }
 
     /// Notes that a piece has to run again.
-    pub(crate) fn note_unread(&self) {
-        self.left.set(self.left.get() + 1);
+    pub(crate) fn record_unread(&self) {
+        self.unread.set(self.unread.get() + 1);
     }
 
     /// Tells whether the inputs were given up.
-    pub(crate) fn has_given_up(&self) -> bool {
-        self.has_given_up.get()
+    pub(crate) fn is_released(&self) -> bool {
+        self.is_released.get()
     }
 }
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -184,7 +184,7 @@
     })?;
     let purpose = CallPurpose::Maintenance;
     let answer = call_target(traffic, desk, target, request, purpose, ASK_LIMIT).await?;
-    let is_well = answer.parts.status.is_success() && !answer.leaves;
+    let is_well = answer.parts.status.is_success() && !answer.is_leaving;
     answer.collect(traffic, ANSWER_LIMIT).await?;
     Ok(is_well)
 }
--- a/packages/turnford-serve/src/placed_run.rs
+++ b/packages/turnford-serve/src/placed_run.rs
@@ -20,7 +20,7 @@
     /// Whether targets crashed while they ran such a request, and it is the only such one there.
     pub(crate) is_alone: bool,
     /// Its place in the line, where it waited for a target, until it is sent.
-    pub(crate) turn: Option<QueuePosition>,
+    pub(crate) position: Option<QueuePosition>,
     pub(crate) run: Option<RunRegistration>,
 }
 
@@ -28,58 +28,58 @@
 pub(crate) struct RunRegistration {
     pub(crate) placer: PlacerHandle,
     pub(crate) ticket: RunTicket,
-    pub(crate) placed: Moment,
+    pub(crate) placed_at: Moment,
 }
 
 impl PlacedRun {
     /// Notes that the first event came.
-    pub(crate) fn note_begun(&self) {
+    pub(crate) fn report_first_event(&self) {
         if let Some(run) = &self.run {
             let now = run.placer.traffic.shared.now();
-            let span = now.saturating_sub(run.placed).as_millis();
+            let span = now.saturating_sub(run.placed_at).as_millis();
             let span = u32::try_from(span).unwrap_or(u32::MAX);
-            run.placer.tell(RunUpdate::Started(run.ticket, span));
+            run.placer.notify(RunUpdate::Started(run.ticket, span));
         }
     }
 
     /// Notes that the target could not be reached or did not take the request.
-    pub(crate) fn note_refused(&self) {
+    pub(crate) fn report_refusal(&self) {
         if let Some(run) = &self.run {
-            run.placer.tell(RunUpdate::Refused(run.ticket));
+            run.placer.notify(RunUpdate::Refused(run.ticket));
         }
     }
 }
 
 impl Drop for RunRegistration {
     fn drop(&mut self) {
-        self.placer.tell(RunUpdate::Ended(self.ticket));
+        self.placer.notify(RunUpdate::Ended(self.ticket));
     }
 }
 
 /// A place as it was found now.
 pub(crate) enum PlacementAttempt {
     Placed(Box<PlacedRun>),
-    Nowhere,
+    NoTarget,
     Held,
     Refused(Duration),
-    Later(Duration),
+    Wait(Duration),
     Full(Duration),
 }
 
 /// Returns the placement that a node, `None` for this one, noted.
-pub(crate) fn note_run(
+pub(crate) fn register_run(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     address: Option<SocketAddr>,
     ticket: RunTicket,
 ) -> RunRegistration {
     RunRegistration {
         placer: PlacerHandle {
             traffic: traffic.clone(),
-            desk: desk.clone(),
+            context: context.clone(),
             address,
         },
         ticket,
-        placed: traffic.shared.now(),
+        placed_at: traffic.shared.now(),
     }
 }
--- a/packages/turnford-serve/src/placement.rs
+++ b/packages/turnford-serve/src/placement.rs
@@ -20,15 +20,15 @@
 use turnford_policy::RequestDigest;
 use turnford_policy::TargetId;
 
-use crate::availability::wait_turn;
+use crate::availability::wait_for_target;
 use crate::availability::AvailabilityError;
 use crate::forward::RETRY_AFTER;
 use crate::limit_placement::choose_limited;
 use crate::limit_placement::LimitedPlacement;
-use crate::placed_run::note_run;
+use crate::placed_run::register_run;
 use crate::placed_run::PlacedRun;
 use crate::placed_run::PlacementAttempt;
-use crate::placer::ask_placer;
+use crate::placer::request_placement;
 use crate::record::RequestRecord;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
@@ -40,10 +40,13 @@
 use crate::wait_queue::QueuePosition;
 
 /// Returns the hall that a request's last target will probably be in.
-pub(crate) fn plan_hall(desk: &ServiceContext, parts: &[PromptSegment]) -> Option<Arc<str>> {
-    let board = desk.targets.borrow();
-    let home = PromptAffinity::new(parts, board.open_targets().map(|target| &target.id));
-    let target = board.get(home.preferred()?)?;
+pub(crate) fn predict_hall(
+    context: &ServiceContext,
+    segments: &[PromptSegment],
+) -> Option<Arc<str>> {
+    let table = context.targets.borrow();
+    let affinity = PromptAffinity::new(segments, table.open_targets().map(|target| &target.id));
+    let target = table.get(affinity.preferred()?)?;
     Some(target.hall.clone())
 }
 
@@ -52,7 +55,7 @@
     /// At a target.
     Placed(Box<PlacedRun>),
     /// No target can take it.
-    Nowhere,
+    NoTarget,
     /// Targets crashed under such a request.
     Suspect(SuspectRefusal),
     /// All want rest for longer than the request has time; when to come back.
@@ -75,56 +78,56 @@
 pub(crate) async fn place_request(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceContext>,
-    wish: &PlacementOptions<'_>,
+    context: &Rc<ServiceContext>,
+    options: &PlacementOptions<'_>,
 ) -> PlacementOutcome {
-    let tried = wish.tried;
-    let mut need = PlacementRequest {
-        segments: record.facts.segments.clone(),
-        prompt_tokens: record.facts.prompt_tokens,
-        max_output_tokens: record.facts.max_output_tokens,
-        inputs: wish.inputs.to_vec(),
+    let tried = options.tried;
+    let mut placement = PlacementRequest {
+        segments: record.attributes.segments.clone(),
+        prompt_tokens: record.attributes.prompt_tokens,
+        max_output_tokens: record.attributes.max_output_tokens,
+        inputs: options.inputs.to_vec(),
         tried: tried.to_vec(),
         due: record.started_at + record.route.latency_objective,
         deadline: record.deadline,
     };
-    let turn = turn_ask(traffic, record, wish);
-    let held_until = turn.requested_at + SUSPECT_WAIT_TIMEOUT;
-    let mut is_noted = false;
+    let queued = build_queued_request(traffic, record, options);
+    let hold_until = queued.requested_at + SUSPECT_WAIT_TIMEOUT;
+    let mut is_traced = false;
     loop {
-        let line_place = match find_turn(traffic, record, desk, wish).await {
+        let position = match acquire_position(traffic, record, context, options).await {
             Ok(place) => place,
-            Err(AvailabilityError::Nowhere) => return PlacementOutcome::Nowhere,
-            Err(AvailabilityError::TooLate(back_after)) => {
-                return PlacementOutcome::TooLate(back_after)
+            Err(AvailabilityError::NoTarget) => return PlacementOutcome::NoTarget,
+            Err(AvailabilityError::TooLate(retry_after)) => {
+                return PlacementOutcome::TooLate(retry_after)
             }
         };
         // The node that places does not know which targets want rest of this one.
         let now = traffic.shared.now();
-        let closed = desk.targets.borrow().closed_targets(now);
-        need.tried = [tried, &closed[..]].concat();
-        match place_once(traffic, record, desk, &need, &turn).await {
+        let closed = context.targets.borrow().closed_targets(now);
+        placement.tried = [tried, &closed[..]].concat();
+        match try_place(traffic, record, context, &placement, &queued).await {
             PlacementAttempt::Placed(mut placed) => {
-                placed.turn = line_place;
+                placed.position = position;
                 return PlacementOutcome::Placed(placed);
             }
-            PlacementAttempt::Later(_) if traffic.shared.now() > turn.deadline => {
+            PlacementAttempt::Wait(_) if traffic.shared.now() > queued.deadline => {
                 return PlacementOutcome::Full(RETRY_AFTER);
             }
-            PlacementAttempt::Later(span) => {
-                drop(line_place);
-                if !std::mem::replace(&mut is_noted, true) {
-                    record.note(format_args!("waits for its turn, targets have limits"));
+            PlacementAttempt::Wait(span) => {
+                drop(position);
+                if !std::mem::replace(&mut is_traced, true) {
+                    record.trace(format_args!("waits for its turn, targets have limits"));
                 }
                 Timer::after(span).await;
                 continue;
             }
-            PlacementAttempt::Full(back_after) => return PlacementOutcome::Full(back_after),
-            PlacementAttempt::Nowhere => return PlacementOutcome::Nowhere,
+            PlacementAttempt::Full(retry_after) => return PlacementOutcome::Full(retry_after),
+            PlacementAttempt::NoTarget => return PlacementOutcome::NoTarget,
             PlacementAttempt::Refused(span) => {
                 return PlacementOutcome::Suspect(SuspectRefusal::crashes_targets(span));
             }
-            PlacementAttempt::Held if traffic.shared.now() >= held_until => {
+            PlacementAttempt::Held if traffic.shared.now() >= hold_until => {
                 return PlacementOutcome::Suspect(SuspectRefusal::on_trial());
             }
             PlacementAttempt::Held => {}
@@ -134,89 +137,93 @@
 }
 
 /// Returns the request's claim to a turn where all targets have limits.
-fn turn_ask(
+fn build_queued_request(
     traffic: &Traffic,
     record: &RequestRecord,
-    wish: &PlacementOptions<'_>,
+    options: &PlacementOptions<'_>,
 ) -> QueuedRequest {
     let now = traffic.shared.now();
     let mut hasher = SipHasher13::new();
-    hasher.write(record.facts.attempt.as_bytes());
-    let latest = record.serve_by().saturating_sub(record.last_span.get());
+    hasher.write(record.attributes.attempt.as_bytes());
+    let latest = record
+        .first_event_deadline()
+        .saturating_sub(record.final_call_time.get());
     QueuedRequest {
         number: hasher.finish(),
         ranks: (record.rank, record.route.rank),
         requested_at: now,
-        deadline: if wish.may_wait { latest } else { now },
+        deadline: if options.may_wait { latest } else { now },
     }
 }
 
 /// Finds out whether a target takes the request, now or, where it may wait, after a rest.
-async fn find_turn(
+async fn acquire_position(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceContext>,
-    wish: &PlacementOptions<'_>,
+    context: &Rc<ServiceContext>,
+    options: &PlacementOptions<'_>,
 ) -> Result<Option<QueuePosition>, AvailabilityError> {
-    if wish.may_wait {
-        return wait_turn(traffic, record, desk, wish.tried).await;
+    if options.may_wait {
+        return wait_for_target(traffic, record, context, options.tried).await;
     }
     let now = traffic.shared.now();
-    let has_open = desk.targets.borrow().has_open(now, wish.tried);
-    has_open.then_some(None).ok_or(AvailabilityError::Nowhere)
+    let has_open = context.targets.borrow().has_open(now, options.tried);
+    has_open.then_some(None).ok_or(AvailabilityError::NoTarget)
 }
 
-async fn place_once(
+async fn try_place(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceContext>,
-    need: &PlacementRequest,
-    turn: &QueuedRequest,
+    context: &Rc<ServiceContext>,
+    placement: &PlacementRequest,
+    queued: &QueuedRequest,
 ) -> PlacementAttempt {
     let digest = record.digest.get();
     let now = traffic.shared.now();
-    let is_sound = traffic.crashes.verdict(now, &digest) == CrashVerdict::Clear;
-    if is_sound && desk.spec.borrow().engine.is_none() {
-        if let Ok(target) = choose_limited(traffic, desk, &need.tried).await {
-            return target.map_or(PlacementAttempt::Nowhere, |target| {
+    let is_clear = traffic.crashes.verdict(now, &digest) == CrashVerdict::Clear;
+    if is_clear && context.spec.borrow().engine.is_none() {
+        if let Ok(target) = choose_limited(traffic, context, &placement.tried).await {
+            return target.map_or(PlacementAttempt::NoTarget, |target| {
                 PlacementAttempt::Placed(Box::new(PlacedRun {
                     target,
                     is_alone: false,
-                    turn: None,
+                    position: None,
                     run: None,
                 }))
             });
         }
     }
-    if let Some(placer) = desk.limits.placer() {
-        if let Some(found) = ask_placer(traffic, desk, digest, need, turn, placer).await {
+    if let Some(placer) = context.limits.placer() {
+        if let Some(found) =
+            request_placement(traffic, context, digest, placement, queued, placer).await
+        {
             if matches!(found, PlacementAttempt::Placed(_)) {
-                record.note(format_args!("placed by {placer}"));
+                record.trace(format_args!("placed by {placer}"));
             }
             return found;
         }
-        record.note(format_args!("placed here: {placer} gave no place"));
-        if desk.limits.placer().is_some() {
+        record.trace(format_args!("placed here: {placer} gave no place"));
+        if context.limits.placer().is_some() {
             // Another one divides the limits.
-            return place_here(traffic, desk, digest, need, turn);
+            return place_locally(traffic, context, digest, placement, queued);
         }
     }
-    if desk.limits.table.borrow().has_limits() {
-        let term = desk.limits.election.borrow().term().cloned();
-        desk.limits.resolve_role(term.as_ref());
+    if context.limits.table.borrow().has_limits() {
+        let term = context.limits.election.borrow().term().cloned();
+        context.limits.resolve_role(term.as_ref());
     }
-    place_here(traffic, desk, digest, need, turn)
+    place_locally(traffic, context, digest, placement, queued)
 }
 
 /// Places a request by what this node knows.
-fn place_here(
+fn place_locally(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     digest: RequestDigest,
-    need: &PlacementRequest,
-    turn: &QueuedRequest,
+    placement: &PlacementRequest,
+    queued: &QueuedRequest,
 ) -> PlacementAttempt {
-    let (place, is_alone) = match place_checked(traffic, desk, digest, need, turn) {
+    let (place, is_alone) = match place_checked(traffic, context, digest, placement, queued) {
         CheckedPlacement::Found { place, is_alone } => (place, is_alone),
         CheckedPlacement::Held => return PlacementAttempt::Held,
         CheckedPlacement::Refused(span) => return PlacementAttempt::Refused(span),
@@ -228,17 +235,17 @@
             has_permit,
         } => {
             if has_permit {
-                desk.limits.add_permit(&target.id, traffic.shared.now());
+                context.limits.add_permit(&target.id, traffic.shared.now());
             }
             PlacementAttempt::Placed(Box::new(PlacedRun {
                 target,
                 is_alone,
-                turn: None,
-                run: Some(note_run(traffic, desk, None, ticket)),
+                position: None,
+                run: Some(register_run(traffic, context, None, ticket)),
             }))
         }
-        LimitedPlacement::Wait(span) => PlacementAttempt::Later(span),
+        LimitedPlacement::Wait(span) => PlacementAttempt::Wait(span),
         LimitedPlacement::Full(span) => PlacementAttempt::Full(span),
-        LimitedPlacement::NoTarget => PlacementAttempt::Nowhere,
+        LimitedPlacement::NoTarget => PlacementAttempt::NoTarget,
     }
 }
--- a/packages/turnford-serve/src/plain_choice.rs
+++ b/packages/turnford-serve/src/plain_choice.rs
@@ -7,30 +7,30 @@
 use crate::traffic::Traffic;
 
 /// Cost of a target in another hall against one request more in its queue.
-const HALL_COST: f64 = 0.002;
+const REMOTE_HALL_COST: f64 = 0.002;
 
 /// Cost of a target that has this node's part of its connections in use, against requests in its
 /// queue: it is chosen only where all are so.
-const OVER_COST: f64 = 1000.0;
+const OVER_LIMIT_COST: f64 = 1000.0;
 
 /// Chooses a target that is no engine, by what this node knows.
 pub(crate) fn choose_target(
     traffic: &Traffic,
-    desk: &ServiceContext,
+    context: &ServiceContext,
     tried: &[TargetId],
 ) -> Option<TargetSpec> {
     let own_hall = &traffic.shared.settings.hall;
-    let share_count = traffic.shared.view.load().share_count();
-    let limit = desk.spec.borrow().connection_limit as f64 / share_count;
+    let node_count = traffic.shared.view.load().share_count();
+    let limit = context.spec.borrow().connection_limit as f64 / node_count;
     let now = traffic.shared.now();
-    let board = desk.targets.borrow();
+    let table = context.targets.borrow();
     let cost = |target: &TargetSpec, load: f64| {
-        let is_near = target.hall == *own_hall;
-        let hall = if is_near { 0.0 } else { HALL_COST };
+        let is_local = target.hall == *own_hall;
+        let hall_cost = if is_local { 0.0 } else { REMOTE_HALL_COST };
         // Each call takes a connection; beyond this node's part of them the target resets some.
-        let is_over = f64::from(board.inflight(&target.id) + 1) > limit.max(1.0);
-        let over = if is_over { OVER_COST } else { 0.0 };
-        load / f64::from(target.slots.max(1)) + hall + over
+        let is_over = f64::from(table.inflight(&target.id) + 1) > limit.max(1.0);
+        let over_cost = if is_over { OVER_LIMIT_COST } else { 0.0 };
+        load / f64::from(target.slots.max(1)) + hall_cost + over_cost
     };
-    board.choose(now, tried, cost)
+    table.choose(now, tried, cost)
 }
--- a/packages/turnford-serve/src/record.rs
+++ b/packages/turnford-serve/src/record.rs
@@ -20,12 +20,12 @@
 use crate::wait::wait_until;
 
 /// Longest story of one request in its log line, in bytes. What goes beyond is left out.
-const STORY_LIMIT: usize = 1500;
+const MAX_TRACE_BYTES: usize = 1500;
 
 /// A request from its head to its end. Dropped without an end, it says that the client left.
 pub(crate) struct RequestRecord {
     shared: Arc<ServeShared>,
-    pub(crate) facts: CallAttributes,
+    pub(crate) attributes: CallAttributes,
     pub(crate) route: Arc<RouteSpec>,
     pub(crate) account: Option<AccountId>,
     /// Rank: 0 goes first.
@@ -34,17 +34,17 @@
     /// When the request must have its final answer.
     pub(crate) deadline: Moment,
     /// Hall of the target that the request will probably run at.
-    pub(crate) planned_hall: RefCell<Option<Arc<str>>>,
+    pub(crate) predicted_hall: RefCell<Option<Arc<str>>>,
     version: u64,
     /// Digest of what it asks for, once its body is read.
     pub(crate) digest: Cell<RequestDigest>,
     /// Span that its own call takes until the first answer, as known when the request came.
-    pub(crate) last_span: Cell<Duration>,
+    pub(crate) final_call_time: Cell<Duration>,
     /// When its own call began.
-    last_begun: Cell<Moment>,
-    story: RefCell<String>,
+    final_call_start: Cell<Moment>,
+    trace: RefCell<String>,
     /// Time until the first byte of the answer.
-    head: Cell<Option<Duration>>,
+    first_byte: Cell<Option<Duration>>,
     /// When the last event of the answer came.
     last_event: Cell<Option<Moment>>,
     /// Longest pause between two events of the answer.
@@ -55,31 +55,31 @@
 impl RequestRecord {
     pub(crate) fn new(
         shared: Arc<ServeShared>,
-        facts: CallAttributes,
+        attributes: CallAttributes,
         route: Arc<RouteSpec>,
         account: Option<AccountId>,
         rank: u8,
         version: u64,
     ) -> Rc<Self> {
-        let begun = shared.now();
-        let patience = facts.client_timeout.unwrap_or(route.timeout);
-        let deadline = begun + patience.min(route.timeout);
+        let started_at = shared.now();
+        let client_timeout = attributes.client_timeout.unwrap_or(route.timeout);
+        let deadline = started_at + client_timeout.min(route.timeout);
         shared.running.fetch_add(1, Ordering::SeqCst);
         Rc::new(Self {
             shared,
-            facts,
+            attributes,
             route,
             account,
             rank,
-            started_at: begun,
+            started_at,
             deadline,
-            planned_hall: RefCell::default(),
+            predicted_hall: RefCell::default(),
             version,
             digest: Cell::default(),
-            last_span: Cell::new(Duration::ZERO),
-            last_begun: Cell::new(begun),
-            story: RefCell::new(String::new()),
-            head: Cell::new(None),
+            final_call_time: Cell::new(Duration::ZERO),
+            final_call_start: Cell::new(started_at),
+            trace: RefCell::new(String::new()),
+            first_byte: Cell::new(None),
             last_event: Cell::new(None),
             longest_pause: Cell::new(Duration::ZERO),
             is_ended: Cell::new(false),
@@ -88,14 +88,16 @@
 
     /// Returns the request's stages in their order.
     pub(crate) fn stage_graph(&self) -> StageGraph {
-        StageGraph::new(&self.route.stages, |stage| self.facts.piece_count(stage))
+        StageGraph::new(&self.route.stages, |stage| {
+            self.attributes.piece_count(stage)
+        })
     }
 
     /// Returns when its first answer must come for the client to be there still, and for this node to
     /// be running.
-    pub(crate) fn serve_by(&self) -> Moment {
-        let patience = self.route.first_event_timeout;
-        let client = patience.map(|patience| self.started_at + patience);
+    pub(crate) fn first_event_deadline(&self) -> Moment {
+        let client_timeout = self.route.first_event_timeout;
+        let client = client_timeout.map(|client_timeout| self.started_at + client_timeout);
         let ends = [client, self.shared.exit_deadline()];
         let ends = ends.into_iter().flatten();
         ends.fold(self.deadline, Moment::min)
@@ -107,7 +109,7 @@
     }
 
     /// Returns the time until the deadline.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_sub(self.shared.now())
     }
 
@@ -117,43 +119,45 @@
     }
 
     /// Adds a decision or event to the request's line, with the time since its begin.
-    pub(crate) fn note(&self, text: std::fmt::Arguments<'_>) {
-        let mut story = self.story.borrow_mut();
-        if story.len() < STORY_LIMIT {
+    pub(crate) fn trace(&self, text: std::fmt::Arguments<'_>) {
+        let mut trace = self.trace.borrow_mut();
+        if trace.len() < MAX_TRACE_BYTES {
             let at = self
                 .shared
                 .now()
                 .saturating_sub(self.started_at)
                 .as_millis();
             // Writing to a string does not fail.
-            let _ = write!(story, " [{at}ms {text}]");
+            let _ = write!(trace, " [{at}ms {text}]");
         }
     }
 
     /// Notes that the request's own call begins.
-    pub(crate) fn note_last_begun(&self) {
-        self.last_begun.set(self.shared.now());
+    pub(crate) fn record_final_call_start(&self) {
+        self.final_call_start.set(self.shared.now());
     }
 
     /// Returns the span since the request's own call began.
-    pub(crate) fn last_elapsed(&self) -> Duration {
-        self.shared.now().saturating_sub(self.last_begun.get())
+    pub(crate) fn final_call_elapsed(&self) -> Duration {
+        self.shared
+            .now()
+            .saturating_sub(self.final_call_start.get())
     }
 
     /// Notes the first byte of the answer.
-    pub(crate) fn note_head(&self) {
+    pub(crate) fn record_first_byte(&self) {
         let time = self.shared.now().saturating_sub(self.started_at);
-        self.head.set(Some(time));
+        self.first_byte.set(Some(time));
         self.shared
             .metrics
             .record_first_byte(self.account_name(), self.rank, time);
     }
 
     /// Notes an event of the answer.
-    pub(crate) fn note_event(&self) {
+    pub(crate) fn record_event(&self) {
         let now = self.shared.now();
-        if let Some(last) = self.last_event.replace(Some(now)) {
-            let pause = now.saturating_sub(last);
+        if let Some(previous) = self.last_event.replace(Some(now)) {
+            let pause = now.saturating_sub(previous);
             self.longest_pause.set(self.longest_pause.get().max(pause));
         }
     }
@@ -174,23 +178,24 @@
         self.shared
             .metrics
             .record_end(account, self.rank, code, time);
-        let story = self.story.borrow();
-        let head = self.head.get();
-        let is_prompt = head.is_some_and(|head| head <= self.route.latency_objective);
+        let trace = self.trace.borrow();
+        let first_byte = self.first_byte.get();
+        let is_on_time =
+            first_byte.is_some_and(|first_byte| first_byte <= self.route.latency_objective);
         let pause = self.longest_pause();
         let is_steady = self.route.gap_objective.is_none_or(|goal| pause <= goal);
-        let is_plain = code.is_complete() && is_prompt && is_steady;
-        let level = if is_plain {
+        let is_normal = code.is_complete() && is_on_time && is_steady;
+        let level = if is_normal {
             log::Level::Info
         } else {
             log::Level::Warn
         };
         // What an ordinary request passed through stays out of its line.
-        let story = if is_plain { "" } else { story.as_str() };
+        let trace = if is_normal { "" } else { trace.as_str() };
         log::log!(
             level,
             "request={} asks={} route={} account={} rank={} config={} pause_ms={} code={} end={} head_ms={} ms={}{}{}{}",
-            self.facts.attempt,
+            self.attributes.attempt,
             self.digest.get(),
             self.route.name,
             account,
@@ -199,11 +204,11 @@
             self.longest_pause().as_millis(),
             code.number(),
             code.name(),
-            head.map_or(-1, |head| head.as_millis() as i64),
+            first_byte.map_or(-1, |first_byte| first_byte.as_millis() as i64),
             time.as_millis(),
             if reason.is_empty() { "" } else { " reason=" },
             reason,
-            story,
+            trace,
         );
     }
 
--- a/packages/turnford-serve/src/request.rs
+++ b/packages/turnford-serve/src/request.rs
@@ -24,14 +24,14 @@
 use crate::answer::error_response;
 use crate::answer::RanStatus;
 use crate::answer::ResponseBody;
-use crate::availability::check_opening;
+use crate::availability::check_availability;
 use crate::availability::AvailabilityError;
-use crate::feasibility::watch_outlook;
+use crate::feasibility::watch_feasibility;
 use crate::forward::forward;
-use crate::forward::ForwardEnd;
 use crate::forward::ForwardJob;
+use crate::forward::ForwardOutcome;
 use crate::forward::RETRY_AFTER;
-use crate::placement::plan_hall;
+use crate::placement::predict_hall;
 use crate::record::RequestRecord;
 use crate::shared::RouteView;
 use crate::stages::run_stages;
@@ -41,13 +41,13 @@
 use crate::trial::SuspectRefusal;
 
 /// Times that the stages of a request run when their results are gone before they are used.
-const STAGE_ROUNDS: u32 = 5;
+const MAX_STAGE_ROUNDS: u32 = 5;
 
 /// Time to come back from a node that stops: another one takes the request at once.
-pub(crate) const MOVE_SPAN: Duration = Duration::from_millis(20);
+pub(crate) const REDIRECT_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// Time to come back to a node that has no configuration yet.
-const NOT_READY_SPAN: Duration = Duration::from_millis(500);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A refusal before a request is admitted.
 struct EarlyRefusal {
@@ -82,10 +82,16 @@
         Ok(body) => body,
         Err((code, reason)) => {
             record.end(code, reason);
-            return error_response(&record.facts.attempt, code, RanStatus::No, reason, None);
+            return error_response(
+                &record.attributes.attempt,
+                code,
+                RanStatus::No,
+                reason,
+                None,
+            );
         }
     };
-    record.digest.set(digest_of(&record, &parts, &body));
+    record.digest.set(request_digest(&record, &parts, &body));
     let suspect = match admit_suspect(&traffic, &record).await {
         Ok(suspect) => suspect,
         Err(refusal) => return refuse_suspect(&record, &refusal),
@@ -103,39 +109,50 @@
 ) -> Result<Rc<RequestRecord>, EarlyRefusal> {
     if !view.is_complete() {
         let mut refusal = EarlyRefusal::new(ResultCode::NotReady, "no configuration yet");
-        refusal.retry_after = Some(NOT_READY_SPAN);
+        refusal.retry_after = Some(NOT_READY_RETRY_AFTER);
         return Err(refusal);
     }
     let route = find_route(view, parts)?;
-    let facts = decode_call(parts)
+    let attributes = decode_call(parts)
         .map_err(|problem| EarlyRefusal::new(ResultCode::BadRequest, problem.to_string()))?;
-    let key = facts.api_key.as_deref();
-    let grant = key.and_then(|key| view.table.grant(key)).cloned();
+    let api_key = attributes.api_key.as_deref();
+    let grant = api_key
+        .and_then(|api_key| view.table.grant(api_key))
+        .cloned();
     if view.table.requires_key() && grant.is_none() && !route.anonymous {
         let reason = "no or an unknown key";
         return Err(EarlyRefusal::new(ResultCode::UnknownAccount, reason));
     }
     if !traffic.shared.can_finish(route.kind, route.timeout) {
         let mut refusal = EarlyRefusal::new(ResultCode::Draining, "the node stops");
-        refusal.retry_after = Some(MOVE_SPAN);
+        refusal.retry_after = Some(REDIRECT_RETRY_AFTER);
         return Err(refusal);
     }
     let rank = grant.as_ref().and_then(|grant| grant.rank);
     let rank = rank.unwrap_or(route.rank);
     let account = grant.map(|grant| grant.account);
-    Ok(start_record(traffic, view, facts, route, account, rank))
+    Ok(start_record(
+        traffic, view, attributes, route, account, rank,
+    ))
 }
 
 fn start_record(
     traffic: &Traffic,
     view: &RouteView,
-    facts: CallAttributes,
+    attributes: CallAttributes,
     route: std::sync::Arc<RouteSpec>,
     account: Option<turnford_policy::AccountId>,
     rank: u8,
 ) -> Rc<RequestRecord> {
     let version = view.config.version;
-    RequestRecord::new(traffic.shared.clone(), facts, route, account, rank, version)
+    RequestRecord::new(
+        traffic.shared.clone(),
+        attributes,
+        route,
+        account,
+        rank,
+        version,
+    )
 }
 
 fn find_route(view: &RouteView, parts: &Parts) -> Result<std::sync::Arc<RouteSpec>, EarlyRefusal> {
@@ -155,7 +172,7 @@
     parts.uri.host().or(named)
 }
 
-fn digest_of(record: &RequestRecord, parts: &Parts, body: &Bytes) -> RequestDigest {
+fn request_digest(record: &RequestRecord, parts: &Parts, body: &Bytes) -> RequestDigest {
     let account = record.account.as_deref().unwrap_or("");
     let host = host_of(parts).unwrap_or("").to_ascii_lowercase();
     let path = parts.uri.path_and_query();
@@ -164,7 +181,7 @@
 }
 
 fn refuse(traffic: &Traffic, parts: &Parts, refusal: &EarlyRefusal) -> Response<ResponseBody> {
-    let attempt = decode_call(parts).map(|facts| facts.attempt);
+    let attempt = decode_call(parts).map(|attributes| attributes.attempt);
     let attempt = attempt.unwrap_or_default();
     let view = traffic.shared.view.load();
     log::warn!(
@@ -218,56 +235,56 @@
     body: &Bytes,
 ) -> Response<ResponseBody> {
     let service = record.route.draw_service(traffic.random());
-    let desk = service.and_then(|service| traffic.service(service));
-    let Some(desk) = desk else {
+    let context = service.and_then(|service| traffic.service(service));
+    let Some(context) = context else {
         let reason = "the service is not known";
         return refuse_admitted(record, ResultCode::NoTarget, reason, RETRY_AFTER);
     };
     record
-        .last_span
-        .set(desk.last_span(record.facts.unique_tokens()));
-    if let Err(fault) = check_opening(traffic, record, &desk) {
+        .final_call_time
+        .set(context.predict_final_call(record.attributes.unique_tokens()));
+    if let Err(error) = check_availability(traffic, record, &context) {
         // Its stages would run in vain.
-        return refuse_closed(record, fault);
+        return refuse_unavailable(record, error);
     }
-    *record.planned_hall.borrow_mut() = plan_hall(&desk, &record.facts.segments);
-    for _ in 0..STAGE_ROUNDS {
-        let flow = match admit_flow(traffic, record, &desk).await {
+    *record.predicted_hall.borrow_mut() = predict_hall(&context, &record.attributes.segments);
+    for _ in 0..MAX_STAGE_ROUNDS {
+        let flow = match admit_flow(traffic, record, &context).await {
             Ok(flow) => flow,
             Err(refusal) => return refuse_late(record, &refusal),
         };
         let stages = run_stages(traffic, record, &flow);
-        let given_up = async { Err(watch_outlook(traffic, record, &flow).await) };
-        let stopped = async { Err(wait_ending(traffic).await) };
-        let results = match stages.or(given_up).or(stopped).await {
+        let infeasible = async { Err(watch_feasibility(traffic, record, &flow).await) };
+        let stopped = async { Err(wait_shutdown(traffic).await) };
+        let results = match stages.or(infeasible).or(stopped).await {
             Ok(results) => results,
-            Err(StageError::InputGone) => {
-                record.note(format_args!("a result was gone"));
+            Err(StageError::InputMissing) => {
+                record.trace(format_args!("a result was gone"));
                 continue;
             }
             Err(StageError::Failed(reason)) => {
                 return refuse_admitted(record, ResultCode::Shed, reason, RETRY_AFTER);
             }
-            Err(StageError::CrashesTargets(back_after)) => {
-                let refusal = SuspectRefusal::crashes_targets(back_after);
+            Err(StageError::CrashesTargets(retry_after)) => {
+                let refusal = SuspectRefusal::crashes_targets(retry_after);
                 return refuse_suspect(record, &refusal);
             }
-            Err(StageError::Hopeless { back_after }) => {
+            Err(StageError::Infeasible { retry_after }) => {
                 let reason = "its stages can't be done while its client waits";
-                return refuse_admitted(record, ResultCode::Shed, reason, back_after);
+                return refuse_admitted(record, ResultCode::Shed, reason, retry_after);
             }
         };
         drop(flow);
         let job = ForwardJob {
             record,
-            desk: &desk,
+            context: &context,
             parts,
             body,
             results: &results,
         };
         match forward(traffic, &job).await {
-            ForwardEnd::Answer(answer) => return answer,
-            ForwardEnd::InputGone => record.note(format_args!("a result was gone")),
+            ForwardOutcome::Response(answer) => return answer,
+            ForwardOutcome::InputMissing => record.trace(format_args!("a result was gone")),
         }
     }
     let reason = "results of stages were gone";
@@ -275,18 +292,18 @@
 }
 
 /// Waits until the node is about to end.
-async fn wait_ending(traffic: &Traffic) -> StageError {
+async fn wait_shutdown(traffic: &Traffic) -> StageError {
     // Nothing is ever sent; the channel's end is the word.
-    let _ = traffic.ending.recv().await;
+    let _ = traffic.shutdown.recv().await;
     StageError::Failed("the node stops")
 }
 
 /// Refuses a request whose stages would be late.
 fn refuse_late(record: &RequestRecord, refusal: &FlowRefusal) -> Response<ResponseBody> {
-    record.note(format_args!("late by {}ms", refusal.lateness.as_millis()));
+    record.trace(format_args!("late by {}ms", refusal.lateness.as_millis()));
     let reason = "the queues of its stages are too long";
-    let back_after = refusal.retry_after.max(RETRY_AFTER);
-    refuse_admitted(record, ResultCode::DeadlineTooShort, reason, back_after)
+    let retry_after = refusal.retry_after.max(RETRY_AFTER);
+    refuse_admitted(record, ResultCode::DeadlineTooShort, reason, retry_after)
 }
 
 /// Refuses a request under which targets crashed; this try of it has not run.
@@ -298,33 +315,33 @@
 }
 
 /// Refuses a request that no target takes in time.
-fn refuse_closed(record: &RequestRecord, fault: AvailabilityError) -> Response<ResponseBody> {
-    match fault {
-        AvailabilityError::Nowhere => {
+fn refuse_unavailable(record: &RequestRecord, error: AvailabilityError) -> Response<ResponseBody> {
+    match error {
+        AvailabilityError::NoTarget => {
             let reason = "no target is left";
             refuse_admitted(record, ResultCode::NoTarget, reason, RETRY_AFTER)
         }
-        AvailabilityError::TooLate(back_after) => refuse_resting(record, back_after),
+        AvailabilityError::TooLate(retry_after) => refuse_backoff(record, retry_after),
     }
 }
 
 /// Refuses a request whose targets all want rest for longer than it has time.
-pub(crate) fn refuse_resting(
+pub(crate) fn refuse_backoff(
     record: &RequestRecord,
-    back_after: Duration,
+    retry_after: Duration,
 ) -> Response<ResponseBody> {
     let reason = "all targets want rest";
-    refuse_admitted(record, ResultCode::NoTarget, reason, back_after)
+    refuse_admitted(record, ResultCode::NoTarget, reason, retry_after)
 }
 
 /// Refuses a request whose targets' limits leave no call for it in time.
 pub(crate) fn refuse_limited(
     record: &RequestRecord,
-    back_after: Duration,
+    retry_after: Duration,
 ) -> Response<ResponseBody> {
     let reason = "the limits of its targets leave no call for it in time";
-    let back_after = back_after.max(RETRY_AFTER);
-    refuse_admitted(record, ResultCode::NoTarget, reason, back_after)
+    let retry_after = retry_after.max(RETRY_AFTER);
+    refuse_admitted(record, ResultCode::NoTarget, reason, retry_after)
 }
 
 /// Refuses a request that has not run and never will.
@@ -332,9 +349,9 @@
     record: &RequestRecord,
     code: ResultCode,
     reason: &str,
-    back_after: Duration,
+    retry_after: Duration,
 ) -> Response<ResponseBody> {
     record.end(code, reason);
-    let attempt = &record.facts.attempt;
-    error_response(attempt, code, RanStatus::No, reason, Some(back_after))
+    let attempt = &record.attributes.attempt;
+    error_response(attempt, code, RanStatus::No, reason, Some(retry_after))
 }
--- a/packages/turnford-serve/src/results.rs
+++ b/packages/turnford-serve/src/results.rs
@@ -63,13 +63,13 @@
         longest.first().cloned()
     }
 
-    pub(crate) fn give_up_all(&mut self) {
+    pub(crate) fn release_all(&mut self) {
         for stage in 0..self.stages.len() {
-            self.give_up(stage);
+            self.release(stage);
         }
     }
 
-    pub(crate) fn give_up(&mut self, stage: usize) {
+    pub(crate) fn release(&mut self, stage: usize) {
         let results = std::mem::take(&mut self.stages[stage]);
         release_results(&self.traffic, results);
     }
@@ -77,7 +77,7 @@
 
 impl Drop for HeldResults {
     fn drop(&mut self) {
-        self.give_up_all();
+        self.release_all();
     }
 }
 
@@ -92,7 +92,7 @@
 
 impl StageResults {
     /// Gives the results up: their target has read them.
-    pub(crate) fn give_up(&self) {
-        self.held.borrow_mut().give_up_all();
+    pub(crate) fn release(&self) {
+        self.held.borrow_mut().release_all();
     }
 }
--- a/packages/turnford-serve/src/service_context.rs
+++ b/packages/turnford-serve/src/service_context.rs
@@ -36,10 +36,11 @@
 /// What is thought of a service's own calls before a first one was made, by the tokens that only the
 /// request has: the span until the first answer of none, and of [`START_TOKENS`]. Calls of the first
 /// second replace it.
-const START_LAST: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(150));
+const INITIAL_LATENCY: (Duration, Duration) =
+    (Duration::from_millis(50), Duration::from_millis(150));
 
 /// Tokens of the second of these.
-const START_TOKENS: f64 = 2000.0;
+const INITIAL_LATENCY_TOKENS: f64 = 2000.0;
 
 /// A service.
 pub(crate) struct ServiceContext {
@@ -57,17 +58,17 @@
     /// Number of the newest trial at a target that is no engine.
     next_trial: Cell<TrialId>,
     /// Span of this node's own calls until their first answer, by the tokens that only the request has.
-    last_line: RefCell<LatencyModel>,
+    latency_model: RefCell<LatencyModel>,
     /// Requests that wait until a target takes calls.
-    pub(crate) line: Rc<WaitQueue>,
+    pub(crate) wait_queue: Rc<WaitQueue>,
     /// Cells of the targets, where the service runs pieces of stages.
     pub(crate) cells: RefCell<Vec<Rc<CellQueue>>>,
     /// Waits that the gathering nodes told, by cell.
-    waits: RefCell<HashMap<usize, ToldWaits>>,
+    waits: RefCell<HashMap<usize, ReportedWaits>>,
 }
 
 /// Time that new pieces of each account rank would wait, as another node told it.
-struct ToldWaits {
+struct ReportedWaits {
     at: Moment,
     waits: [Duration; RANK_COUNT],
 }
@@ -87,21 +88,27 @@
             allowance: RefCell::new(allowance),
             trials: RefCell::default(),
             next_trial: Cell::new(0),
-            last_line: RefCell::new(LatencyModel::new(START_LAST.0, START_TOKENS, START_LAST.1)),
-            line: Rc::default(),
+            latency_model: RefCell::new(LatencyModel::new(
+                INITIAL_LATENCY.0,
+                INITIAL_LATENCY_TOKENS,
+                INITIAL_LATENCY.1,
+            )),
+            wait_queue: Rc::default(),
             cells: RefCell::default(),
             waits: RefCell::default(),
         })
     }
 
     /// Returns the span that a request's own call takes until its first answer, as most do.
-    pub(crate) fn last_span(&self, own_tokens: u64) -> Duration {
-        self.last_line.borrow().predict(own_tokens as f64)
+    pub(crate) fn predict_final_call(&self, unique_tokens: u64) -> Duration {
+        self.latency_model.borrow().predict(unique_tokens as f64)
     }
 
     /// Learns the span of such a call.
-    pub(crate) fn note_last(&self, own_tokens: u64, span: Duration) {
-        self.last_line.borrow_mut().observe(own_tokens as f64, span);
+    pub(crate) fn record_final_call(&self, unique_tokens: u64, span: Duration) {
+        self.latency_model
+            .borrow_mut()
+            .observe(unique_tokens as f64, span);
     }
 
     /// Returns a number for a trial at a target that is no engine; engines number their runs.
@@ -112,23 +119,23 @@
 
     /// Returns why a target takes no such call of this node now, `None` if it takes it. The call counts
     /// as under way already, and uses up a permit where the target has a limit.
-    pub(crate) fn closed_reason(
+    pub(crate) fn rejection_reason(
         &self,
         now: Moment,
         target: &str,
         purpose: CallPurpose<'_>,
     ) -> Option<CallError> {
-        let board = self.targets.borrow();
-        let Some(spec) = board.get(target) else {
+        let table = self.targets.borrow();
+        let Some(spec) = table.get(target) else {
             return Some(CallError::Unavailable("the target is gone"));
         };
         if spec.leaving && purpose != CallPurpose::Maintenance {
             return Some(CallError::Unavailable("the target is leaving"));
         }
-        if board.backoff_until(now, target).is_some() {
+        if table.backoff_until(now, target).is_some() {
             return Some(CallError::Unavailable("the target wants rest"));
         }
-        let has_room = purpose == CallPurpose::Maintenance || board.is_within_limit(now, target);
+        let has_room = purpose == CallPurpose::Maintenance || table.is_within_limit(now, target);
         if !has_room {
             return Some(CallError::Unavailable(
                 "the target comes back from its rest",
@@ -139,34 +146,34 @@
     }
 
     /// Returns those of a cell's targets that take a further call of this node.
-    pub(crate) fn awake_targets(&self, now: Moment, targets: &[TargetSpec]) -> Vec<TargetSpec> {
-        let board = self.targets.borrow();
+    pub(crate) fn available_targets(&self, now: Moment, targets: &[TargetSpec]) -> Vec<TargetSpec> {
+        let table = self.targets.borrow();
         let limits = self.limits.table.borrow();
-        let awake = targets
+        let available = targets
             .iter()
-            .filter(|target| board.is_open(now, &target.id) && limits.is_open(now, &target.id));
-        awake.cloned().collect()
+            .filter(|target| table.is_open(now, &target.id) && limits.is_open(now, &target.id));
+        available.cloned().collect()
     }
 
     /// Notes a good answer of a target; it may let in those that wait.
-    pub(crate) fn note_success(&self, now: Moment, target: &str) {
+    pub(crate) fn record_success(&self, now: Moment, target: &str) {
         self.targets.borrow_mut().record_success(now, target);
-        self.line.wake_first();
+        self.wait_queue.wake_first();
     }
 
     /// Returns what the service can do as a stage, `None` if it is none.
     pub(crate) fn stage_rate(&self, now: Moment) -> Option<StageRate> {
         let spec = self.spec.borrow().clone();
         let batch = spec.batch.as_ref()?;
-        let board = self.targets.borrow();
-        let open = board.open_targets();
+        let table = self.targets.borrow();
+        let open = table.open_targets();
         let is_awake = |target: &&TargetSpec| {
-            !board.is_paused(now, &target.id) && !board.has_any_backoff(now, &target.id)
+            !table.is_paused(now, &target.id) && !table.has_any_backoff(now, &target.id)
         };
-        let awake: Vec<&TargetSpec> = open.filter(is_awake).collect();
+        let available: Vec<&TargetSpec> = open.filter(is_awake).collect();
         // Pauses are short: where all targets have one, some will soon be back.
-        let least = board.open_count().min(1);
-        let opens_in = board
+        let least = table.open_count().min(1);
+        let opens_in = table
             .opens_for_batcher_at(now)
             .unwrap_or(now)
             .saturating_sub(now);
@@ -174,20 +181,22 @@
         let span = batch.call_overhead + batch.piece_time * pieces;
         let full = batch.slots.max(1) as f64 / span.as_secs_f64().max(0.001);
         let limits = self.limits.table.borrow();
-        let calls = awake.iter().map(|target| match limits.state(&target.id) {
-            LimitState::Limited(rate) => full.min(rate),
-            LimitState::Free | LimitState::Easing => full,
-        });
-        let calls = if awake.is_empty() {
+        let calls = available
+            .iter()
+            .map(|target| match limits.state(&target.id) {
+                LimitState::Limited(rate) => full.min(rate),
+                LimitState::Free | LimitState::Easing => full,
+            });
+        let calls = if available.is_empty() {
             full * least as f64
         } else {
             calls.sum()
         };
         let nominal = calls * f64::from(pieces);
-        let all_limited = awake
+        let all_limited = available
             .iter()
             .all(|target| limits.state(&target.id).needs_permit());
-        let opens_in = if all_limited && calls > 0.0 && !awake.is_empty() {
+        let opens_in = if all_limited && calls > 0.0 && !available.is_empty() {
             // Half of the time between two calls, on the whole.
             opens_in.max(Duration::from_secs_f64(0.5 / calls))
         } else {
@@ -209,20 +218,20 @@
         let Some(batch) = &spec.batch else {
             return;
         };
-        let board = self.targets.borrow();
-        let open: Vec<TargetSpec> = board.open_targets().cloned().collect();
-        let split = split_cells(&open);
+        let table = self.targets.borrow();
+        let open: Vec<TargetSpec> = table.open_targets().cloned().collect();
+        let cell_targets = split_cells(&open);
         let mut cells = self.cells.borrow_mut();
-        while cells.len() < split.len() {
+        while cells.len() < cell_targets.len() {
             cells.push(CellQueue::new(batch.clone()));
         }
         for (number, cell) in cells.iter().enumerate() {
             cell.targets
                 .borrow_mut()
-                .clone_from(&split[number % split.len()]);
-            let mut pieces = cell.board.borrow_mut();
-            pieces.set_spec(batch);
-            pieces.retain_listed(&board);
+                .clone_from(&cell_targets[number % cell_targets.len()]);
+            let mut scheduler = cell.scheduler.borrow_mut();
+            scheduler.set_spec(batch);
+            scheduler.retain_listed(&table);
         }
     }
 
@@ -232,45 +241,45 @@
     }
 
     /// Returns the targets of each cell that is in use.
-    pub(crate) fn split(&self) -> Vec<Vec<TargetSpec>> {
-        let board = self.targets.borrow();
-        let open: Vec<TargetSpec> = board.open_targets().cloned().collect();
+    pub(crate) fn cell_targets(&self) -> Vec<Vec<TargetSpec>> {
+        let table = self.targets.borrow();
+        let open: Vec<TargetSpec> = table.open_targets().cloned().collect();
         split_cells(&open)
     }
 
     /// Takes the waits that the gathering node of a cell told, in milliseconds.
-    pub(crate) fn note_waits(&self, now: Moment, cell: usize, told: &[u32]) {
+    pub(crate) fn record_waits(&self, now: Moment, cell: usize, reported: &[u32]) {
         let mut waits = [Duration::ZERO; RANK_COUNT];
-        for (wait, millis) in waits.iter_mut().zip(told) {
+        for (wait, millis) in waits.iter_mut().zip(reported) {
             *wait = Duration::from_millis(u64::from(*millis));
         }
-        let told = ToldWaits { at: now, waits };
-        self.waits.borrow_mut().insert(cell, told);
+        let reported = ReportedWaits { at: now, waits };
+        self.waits.borrow_mut().insert(cell, reported);
     }
 
     /// Returns the wait that was told for a rank; what was told long ago counts less.
-    pub(crate) fn told_wait(&self, now: Moment, cell: usize, rank: usize) -> Duration {
+    pub(crate) fn reported_wait(&self, now: Moment, cell: usize, rank: usize) -> Duration {
         let waits = self.waits.borrow();
-        let Some(told) = waits.get(&cell) else {
+        let Some(reported) = waits.get(&cell) else {
             return Duration::ZERO;
         };
-        let age = now.saturating_sub(told.at).as_secs_f64() / WAIT_HALF_LIFE.as_secs_f64();
-        told.waits[rank].mul_f64(0.5_f64.powf(age))
+        let age = now.saturating_sub(reported.at).as_secs_f64() / WAIT_HALF_LIFE.as_secs_f64();
+        reported.waits[rank].mul_f64(0.5_f64.powf(age))
     }
 
     /// Returns the waits in a cell that this node gathers for.
-    pub(crate) fn own_waits(&self, now: Moment, cell: usize) -> [Duration; RANK_COUNT] {
-        let Some(pieces) = self.cell(cell) else {
+    pub(crate) fn local_waits(&self, now: Moment, cell: usize) -> [Duration; RANK_COUNT] {
+        let Some(queue) = self.cell(cell) else {
             return [Duration::ZERO; RANK_COUNT];
         };
-        let board = self.targets.borrow();
-        let targets = pieces.targets.borrow();
-        let waiting = pieces.board.borrow();
-        let awake = self.awake_targets(now, &targets);
-        let mut waits = waiting.expected_waits(now, &board, &awake);
-        let opening = next_opening(now, &board, &targets).unwrap_or(now);
+        let table = self.targets.borrow();
+        let targets = queue.targets.borrow();
+        let scheduler = queue.scheduler.borrow();
+        let available = self.available_targets(now, &targets);
+        let mut waits = scheduler.expected_waits(now, &table, &available);
+        let available_at = next_available_at(now, &table, &targets).unwrap_or(now);
         for wait in &mut waits {
-            *wait = (*wait).max(opening.saturating_sub(now));
+            *wait = (*wait).max(available_at.saturating_sub(now));
         }
         waits
     }
@@ -285,46 +294,46 @@
 
 /// Returns when the first target of a cell takes calls of this node, `None` if one does now or there is
 /// none.
-pub(crate) fn next_opening(
+pub(crate) fn next_available_at(
     now: Moment,
-    board: &TargetTable,
+    table: &TargetTable,
     targets: &[TargetSpec],
 ) -> Option<Moment> {
     let ends = targets
         .iter()
-        .map(|target| board.backoff_until(now, &target.id));
+        .map(|target| table.backoff_until(now, &target.id));
     let ends: Option<Vec<Moment>> = ends.collect();
     ends?.into_iter().min()
 }
 
 /// A call under way at a target; its end is noted when this is dropped.
-pub(crate) struct FlightGuard {
-    desk: Rc<ServiceContext>,
+pub(crate) struct InFlightGuard {
+    context: Rc<ServiceContext>,
     target: TargetId,
     /// Start of the target's process.
-    born: ProcessStart,
+    process_start: ProcessStart,
 }
 
-impl FlightGuard {
+impl InFlightGuard {
     /// Notes a call.
-    pub(crate) fn new(desk: &Rc<ServiceContext>, target: &TargetSpec) -> Self {
-        desk.targets.borrow_mut().record_start(&target.id);
+    pub(crate) fn new(context: &Rc<ServiceContext>, target: &TargetSpec) -> Self {
+        context.targets.borrow_mut().record_start(&target.id);
         Self {
-            desk: desk.clone(),
+            context: context.clone(),
             target: target.id.clone(),
-            born: target.process_start,
+            process_start: target.process_start,
         }
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut board = self.desk.targets.borrow_mut();
-        let listed = board.get(&self.target);
-        if listed.is_some_and(|listed| listed.process_start == self.born) {
-            board.record_end(&self.target);
+        let mut table = self.context.targets.borrow_mut();
+        let listed = table.get(&self.target);
+        if listed.is_some_and(|listed| listed.process_start == self.process_start) {
+            table.record_end(&self.target);
         }
-        drop(board);
-        self.desk.line.wake_first();
+        drop(table);
+        self.context.wait_queue.wake_first();
     }
 }
--- a/packages/turnford-serve/src/signals.rs
+++ b/packages/turnford-serve/src/signals.rs
@@ -22,22 +22,22 @@
 /// Hears what a target says of itself in the answer to a call sent at a moment, whatever becomes of it.
 pub(crate) fn process_signals(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     target: &TargetSpec,
     parts: &Parts,
     attempt: Option<&str>,
     sent: Moment,
 ) -> TargetSignal {
-    let word = decode_signal(parts, attempt).unwrap_or_else(|(word, problem)| {
+    let signal = decode_signal(parts, attempt).unwrap_or_else(|(signal, problem)| {
         log::warn!("target={} asks for rest: {problem}", target.id);
-        word
+        signal
     });
     let metrics = &traffic.shared.metrics;
-    if word.is_leaving {
+    if signal.is_leaving {
         metrics.record_service_event(&target.service, ServiceEvent::AnnouncedLeaving);
-        process_leaving(traffic, desk, target);
+        process_leaving(traffic, context, target);
     }
-    if let Some(rest) = word.backoff {
+    if let Some(rest) = signal.backoff {
         metrics.record_service_event(&target.service, ServiceEvent::RequestedBackoff);
         log::info!(
             "target={} asks for rest of {}ms: request={}",
@@ -45,16 +45,16 @@
             rest.as_millis(),
             attempt.unwrap_or("-")
         );
-        apply_backoff(traffic, desk, target, rest);
+        apply_backoff(traffic, context, target, rest);
     }
-    read_limit(traffic, desk, target, parts, attempt, sent);
-    word
+    process_rate_limit(traffic, context, target, parts, attempt, sent);
+    signal
 }
 
 /// Hears what a target says of the calls that it takes from all nodes together.
-fn read_limit(
+fn process_rate_limit(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     target: &TargetSpec,
     parts: &Parts,
     attempt: Option<&str>,
@@ -77,5 +77,5 @@
         sent_at: sent,
         received_at: traffic.shared.now(),
     };
-    process_limit(&desk.limits, target, heard, attempt.unwrap_or("-"));
+    process_limit(&context.limits, target, heard, attempt.unwrap_or("-"));
 }
--- a/packages/turnford-serve/src/stage.rs
+++ b/packages/turnford-serve/src/stage.rs
@@ -13,7 +13,7 @@
 
 use crate::batching::expected_wait;
 use crate::batching::run_pieces;
-use crate::batching::CellPlace;
+use crate::batching::CellRef;
 use crate::pieces::PieceOutcome;
 use crate::record::RequestRecord;
 use crate::release::PieceResult;
@@ -23,27 +23,27 @@
 use crate::traffic::Traffic;
 
 /// Most times that one piece is made anew after a failure.
-const PIECE_TRIES: u32 = 2;
+const MAX_PIECE_RETRIES: u32 = 2;
 
 /// Pause before pieces that were handed back are handed to another node.
-const MOVE_PAUSE: Duration = Duration::from_millis(10);
+const REASSIGN_DELAY: Duration = Duration::from_millis(10);
 
 /// Time that a piece waits for a target near its bytes, for each megabyte that would cross halls.
 /// A megabyte across is priced like a small part of a request's worth.
-const HALL_PATIENCE: Duration = Duration::from_millis(80);
+const HALL_WAIT_PER_MB: Duration = Duration::from_millis(80);
 
 /// Longest time that a piece waits for a target near its bytes.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(300);
+const MAX_HALL_WAIT: Duration = Duration::from_millis(300);
 
 /// What a stage made.
-pub(crate) struct StageMade {
+pub(crate) struct StageOutput {
     pub(crate) results: Vec<PieceResult>,
     /// Whether the results that only it needed were given up.
-    pub(crate) gave_up: bool,
+    pub(crate) inputs_released: bool,
 }
 
 /// What a stage's pieces need beside the request itself.
-pub(crate) struct StageNeeds {
+pub(crate) struct StageParams {
     pub(crate) stage: usize,
     pub(crate) count: u32,
     pub(crate) inputs: Arc<[String]>,
@@ -61,61 +61,61 @@
 pub(crate) async fn run_stage(
     traffic: Rc<Traffic>,
     record: Rc<RequestRecord>,
-    needs: StageNeeds,
-) -> Result<StageMade, StageError> {
-    let service = &record.route.stages[needs.stage].service;
-    let desk = traffic.service(service);
-    let desk = desk.ok_or(StageError::Failed("the stage's service is not known"))?;
-    let place = choose_cell(&traffic, &record, desk, &needs);
-    let mut missing: Vec<u32> = (0..needs.count).collect();
-    note_firsts(&traffic, &place, missing.len());
+    params: StageParams,
+) -> Result<StageOutput, StageError> {
+    let service = &record.route.stages[params.stage].service;
+    let context = traffic.service(service);
+    let context = context.ok_or(StageError::Failed("the stage's service is not known"))?;
+    let cell_ref = choose_cell(&traffic, &record, context, &params);
+    let mut missing: Vec<u32> = (0..params.count).collect();
+    record_first_attempts(&traffic, &cell_ref, missing.len());
     let mut results = HeldResults::new(&traffic, 1);
     let mut made: Vec<Option<PieceResult>> = vec![None; missing.len()];
     let mut failures = 0;
-    let mut gave_up = false;
+    let mut inputs_released = false;
     loop {
         let works = missing.iter();
-        let works = works.map(|&piece| piece_work(&traffic, &record, &needs, piece));
+        let works = works.map(|&piece| build_piece_work(&traffic, &record, &params, piece));
         let works: Vec<PieceWork> = works.collect();
         // After a failure the pieces that are left can't tell what the others have read.
-        let last_use = if failures == 0 && works.len() == needs.count as usize {
-            &needs.last_use[..]
+        let last_use = if failures == 0 && works.len() == params.count as usize {
+            &params.last_use[..]
         } else {
             &[]
         };
-        let end = run_pieces(&traffic, &place, &works, last_use).await;
-        gave_up |= end.gave_up;
+        let end = run_pieces(&traffic, &cell_ref, &works, last_use).await;
+        inputs_released |= end.inputs_released;
         let outcomes = end.outcomes;
         let pieces = std::mem::take(&mut missing);
-        let mut offered = 0;
+        let mut attempted = 0;
         for (piece, outcome) in pieces.into_iter().zip(outcomes) {
             match outcome {
-                PieceOutcome::Made(result) => {
+                PieceOutcome::Completed(result) => {
                     results.stages[0].push(result.clone());
                     made[piece as usize] = Some(result);
                 }
-                PieceOutcome::InputGone => return Err(StageError::InputGone),
+                PieceOutcome::InputMissing => return Err(StageError::InputMissing),
                 PieceOutcome::Failed(reason) => {
-                    record.note(format_args!(
+                    record.trace(format_args!(
                         "stage {} piece {piece}: {reason}",
-                        needs.stage
+                        params.stage
                     ));
-                    offered += 1;
+                    attempted += 1;
                     missing.push(piece);
                 }
-                PieceOutcome::NotOffered => missing.push(piece),
+                PieceOutcome::NotScheduled => missing.push(piece),
             }
         }
         if missing.is_empty() {
             results.stages[0].clear();
-            return Ok(StageMade {
+            return Ok(StageOutput {
                 results: made.into_iter().flatten().collect(),
-                gave_up,
+                inputs_released,
             });
         }
-        if offered == 0 {
+        if attempted == 0 {
             // The node that gathered stops; the others learn of it meanwhile.
-            Timer::after(MOVE_PAUSE).await;
+            Timer::after(REASSIGN_DELAY).await;
             continue;
         }
         let now = traffic.shared.now();
@@ -123,7 +123,9 @@
             return Err(StageError::CrashesTargets(until.saturating_sub(now)));
         }
         failures += 1;
-        if failures > PIECE_TRIES || !may_repeat(&traffic, &record, &place, offered) {
+        if failures > MAX_PIECE_RETRIES
+            || !try_take_retries(&traffic, &record, &cell_ref, attempted)
+        {
             return Err(StageError::Failed("a piece was not made"));
         }
     }
@@ -134,75 +136,80 @@
 fn choose_cell(
     traffic: &Traffic,
     record: &RequestRecord,
-    desk: Rc<ServiceContext>,
-    needs: &StageNeeds,
-) -> CellPlace {
-    let split = desk.split();
-    let hall = needs.hall.as_deref();
-    let near = hall.and_then(|hall| cell_of_hall(&split, hall));
-    let drawn = (traffic.random() * split.len() as f64) as usize;
-    let place = |number: usize| CellPlace {
-        desk: desk.clone(),
-        number,
+    context: Rc<ServiceContext>,
+    params: &StageParams,
+) -> CellRef {
+    let cell_targets = context.cell_targets();
+    let hall = params.hall.as_deref();
+    let local_cell = hall.and_then(|hall| cell_of_hall(&cell_targets, hall));
+    let offset = (traffic.random() * cell_targets.len() as f64) as usize;
+    let place = |index: usize| CellRef {
+        context: context.clone(),
+        index,
     };
-    let cost = |number: usize| {
-        let wait = expected_wait(traffic, &place(number), record.rank);
-        let is_far = near.is_some_and(|near| near != number);
-        let crossing = if is_far {
-            hall_patience(needs.bytes)
+    let cost = |index: usize| {
+        let wait = expected_wait(traffic, &place(index), record.rank);
+        let is_far = local_cell.is_some_and(|local_cell| local_cell != index);
+        let crossing_cost = if is_far {
+            hall_wait(params.bytes)
         } else {
             Duration::ZERO
         };
-        wait + crossing
+        wait + crossing_cost
     };
     // Equal cells are not all chosen alike.
-    let cells = (0..split.len()).map(|number| (number + drawn) % split.len());
-    let best = cells.min_by_key(|&number| cost(number));
+    let cells = (0..cell_targets.len()).map(|index| (index + offset) % cell_targets.len());
+    let best = cells.min_by_key(|&index| cost(index));
     place(best.unwrap_or(0))
 }
 
 /// Returns how long it is worth waiting so that so many bytes don't cross halls.
-fn hall_patience(bytes: u64) -> Duration {
-    let patience = HALL_PATIENCE.mul_f64(bytes as f64 / 1e6);
-    patience.min(LONGEST_PATIENCE)
+fn hall_wait(bytes: u64) -> Duration {
+    let patience = HALL_WAIT_PER_MB.mul_f64(bytes as f64 / 1e6);
+    patience.min(MAX_HALL_WAIT)
 }
 
 /// Notes new pieces, of which a part may be made anew.
-fn note_firsts(traffic: &Traffic, place: &CellPlace, count: usize) {
+fn record_first_attempts(traffic: &Traffic, cell_ref: &CellRef, count: usize) {
     let now = traffic.shared.now();
-    let mut allowance = place.desk.allowance.borrow_mut();
+    let mut allowance = cell_ref.context.allowance.borrow_mut();
     allowance.record_first_attempts(now, count);
 }
 
 /// Takes repeats of so many pieces from the service's allowance, all or none.
-fn may_repeat(traffic: &Traffic, record: &RequestRecord, place: &CellPlace, count: usize) -> bool {
+fn try_take_retries(
+    traffic: &Traffic,
+    record: &RequestRecord,
+    cell_ref: &CellRef,
+    count: usize,
+) -> bool {
     let now = traffic.shared.now();
-    let mut allowance = place.desk.allowance.borrow_mut();
+    let mut allowance = cell_ref.context.allowance.borrow_mut();
     now < record.deadline && allowance.try_take_many(now, count)
 }
 
-fn piece_work(
+fn build_piece_work(
     traffic: &Traffic,
     record: &RequestRecord,
-    needs: &StageNeeds,
+    params: &StageParams,
     piece: u32,
 ) -> PieceWork {
-    let is_first = needs.inputs.is_empty();
-    let key = record.facts.piece_key.as_deref().filter(|_| is_first);
+    let is_first = params.inputs.is_empty();
+    let key = record.attributes.piece_key.as_deref().filter(|_| is_first);
     let now = traffic.shared.now();
     PieceWork {
         digest: record.digest.get(),
         is_suspect: false,
-        attempt: Arc::from(record.facts.attempt.as_str()),
-        stage: needs.stage,
+        attempt: Arc::from(record.attributes.attempt.as_str()),
+        stage: params.stage,
         piece,
         piece_key: key.map(Arc::from),
-        inputs: needs.inputs.clone(),
+        inputs: params.inputs.clone(),
         deadline: record.deadline,
-        due: needs.due,
+        due: params.due,
         ranks: (record.rank, record.route.rank),
-        result_bytes: record.route.stages[needs.stage].result_bytes,
-        hall: needs.hall.clone(),
-        hall_deadline: now + hall_patience(needs.bytes),
+        result_bytes: record.route.stages[params.stage].result_bytes,
+        hall: params.hall.clone(),
+        hall_deadline: now + hall_wait(params.bytes),
     }
 }
--- a/packages/turnford-serve/src/stream.rs
+++ b/packages/turnford-serve/src/stream.rs
@@ -24,7 +24,7 @@
 use crate::traffic::Traffic;
 
 /// Chunks that wait for a slow client before the target is held up.
-const CHUNK_LIMIT: usize = 8;
+const MAX_BUFFERED_CHUNKS: usize = 8;
 
 type ChunkSender = Sender<Result<Bytes, BodyTruncated>>;
 
@@ -32,25 +32,25 @@
 pub(crate) fn relay_stream(
     traffic: &Rc<Traffic>,
     record: &Rc<RequestRecord>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     placed: PlacedRun,
-    answer: TargetResponse,
+    response: TargetResponse,
 ) -> Response<ResponseBody> {
-    let (parts, body, rest) = answer.into_stream();
-    let (sender, chunks) = async_channel::bounded(CHUNK_LIMIT);
+    let (parts, body, remainder) = response.into_stream();
+    let (sender, chunks) = async_channel::bounded(MAX_BUFFERED_CHUNKS);
     let relay = {
         let traffic = traffic.clone();
         let record = record.clone();
-        let desk = desk.clone();
+        let context = context.clone();
         async move {
-            let end = pass_chunks(&record, &desk, &placed, body, &sender).await;
-            if end == RelayEnd::Whole {
-                rest.finish(&traffic);
+            let outcome = relay_chunks(&record, &context, &placed, body, &sender).await;
+            if outcome == RelayOutcome::Completed {
+                remainder.finish(&traffic);
                 record_clean_end(&traffic, &record.digest.get());
                 record.end(ResultCode::Done, "");
                 return;
             }
-            if end == RelayEnd::TargetBroke {
+            if outcome == RelayOutcome::TargetDisconnected {
                 let call = BrokenCall {
                     digest: record.digest.get(),
                     target: placed.target.clone(),
@@ -59,7 +59,7 @@
                     at: traffic.shared.now(),
                 };
                 // It goes on after the client has its answer's end.
-                let check = check_broken_call(traffic.clone(), desk, call, placed);
+                let check = check_broken_call(traffic.clone(), context, call, placed);
                 traffic.executor.spawn(check).detach();
             }
             record.end(ResultCode::StreamBroken, "the stream broke off");
@@ -68,26 +68,26 @@
         }
     };
     let task = traffic.executor.spawn(relay);
-    proxied_response(&parts, ResponseBody::relayed(chunks, task))
+    proxied_response(&parts, ResponseBody::streamed(chunks, task))
 }
 
 /// How the passing on of a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RelayEnd {
-    Whole,
-    TargetBroke,
+enum RelayOutcome {
+    Completed,
+    TargetDisconnected,
     /// The deadline passed, or the client left.
-    GivenUp,
+    Stopped,
 }
 
 /// Passes a body on until its end or the deadline.
-async fn pass_chunks(
+async fn relay_chunks(
     record: &RequestRecord,
-    desk: &ServiceContext,
+    context: &ServiceContext,
     placed: &PlacedRun,
     mut body: Incoming,
     sender: &ChunkSender,
-) -> RelayEnd {
+) -> RelayOutcome {
     let mut is_first = true;
     loop {
         let next = async { Some(body.frame().await) };
@@ -98,27 +98,30 @@
         let frame = match next.or(late).await {
             Some(Some(Ok(frame))) => frame,
             Some(Some(Err(error))) => {
-                record.note(format_args!("the target broke off: {error}"));
-                return RelayEnd::TargetBroke;
+                record.trace(format_args!("the target broke off: {error}"));
+                return RelayOutcome::TargetDisconnected;
             }
-            Some(None) => return RelayEnd::Whole,
+            Some(None) => return RelayOutcome::Completed,
             None => {
-                record.note(format_args!("the deadline passed midway"));
-                return RelayEnd::GivenUp;
+                record.trace(format_args!("the deadline passed midway"));
+                return RelayOutcome::Stopped;
             }
         };
         let Ok(chunk) = frame.into_data() else {
             continue;
         };
-        record.note_event();
+        record.record_event();
         if std::mem::take(&mut is_first) {
-            record.note(format_args!("first event"));
-            record.note_head();
-            desk.note_last(record.facts.unique_tokens(), record.last_elapsed());
-            placed.note_begun();
+            record.trace(format_args!("first event"));
+            record.record_first_byte();
+            context.record_final_call(
+                record.attributes.unique_tokens(),
+                record.final_call_elapsed(),
+            );
+            placed.report_first_event();
         }
         if sender.send(Ok(chunk)).await.is_err() {
-            return RelayEnd::GivenUp;
+            return RelayOutcome::Stopped;
         }
     }
 }
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -28,13 +28,13 @@
 use crate::shared::ServeShared;
 
 /// Pause between looks for idle connections whose time is over.
-const SWEEP_PAUSE: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Everything that serves requests; it lives on one thread.
 pub(crate) struct Traffic {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) shared: Arc<ServeShared>,
-    pub(crate) shelf: RefCell<ConnectionPool>,
+    pub(crate) pool: RefCell<ConnectionPool>,
     pub(crate) releaser: ResultReleaser,
     /// The other nodes.
     pub(crate) peers: Rc<PeerPool>,
@@ -44,8 +44,8 @@
     /// Words of targets that leave which are not told yet.
     pub(crate) leaving: LeavingQueue,
     /// Ends when the node is about to end.
-    pub(crate) ending: Receiver<()>,
-    desks: RefCell<HashMap<ServiceId, Rc<ServiceContext>>>,
+    pub(crate) shutdown: Receiver<()>,
+    services: RefCell<HashMap<ServiceId, Rc<ServiceContext>>>,
     /// What the services were last made from.
     view: RefCell<Arc<RouteView>>,
 }
@@ -54,39 +54,39 @@
     pub(crate) fn new(
         executor: Rc<LocalExecutor<'static>>,
         shared: Arc<ServeShared>,
-        ending: Receiver<()>,
+        shutdown: Receiver<()>,
     ) -> Rc<Self> {
         let peers = PeerPool::new(executor.clone(), shared.clone());
         Rc::new(Self {
             executor,
             shared,
-            shelf: RefCell::default(),
+            pool: RefCell::default(),
             releaser: ResultReleaser::default(),
             peers,
             progress: ProgressQueue::default(),
             crashes: CrashTracker::default(),
             leaving: LeavingQueue::default(),
-            ending,
-            desks: RefCell::default(),
+            shutdown,
+            services: RefCell::default(),
             view: RefCell::default(),
         })
     }
 
     /// Returns a service that the configuration names.
     pub(crate) fn service(&self, service: &str) -> Option<Rc<ServiceContext>> {
-        self.desks.borrow().get(service).cloned()
+        self.services.borrow().get(service).cloned()
     }
 
     /// Returns all services that the configuration names or named.
     pub(crate) fn all_services(&self) -> Vec<Rc<ServiceContext>> {
-        self.desks.borrow().values().cloned().collect()
+        self.services.borrow().values().cloned().collect()
     }
 
     /// Plans a service's pieces anew after its targets changed.
-    pub(crate) fn refresh_pieces(self: &Rc<Self>, desk: &Rc<ServiceContext>) {
-        desk.refresh_cells();
-        for cell in self.cells(desk) {
-            cell.pump();
+    pub(crate) fn refresh_pieces(self: &Rc<Self>, context: &Rc<ServiceContext>) {
+        context.refresh_cells();
+        for cell in self.cells(context) {
+            cell.dispatch();
         }
     }
 
@@ -108,64 +108,64 @@
     }
 
     fn refresh(self: &Rc<Self>, view: &RouteView) {
-        let mut desks = self.desks.borrow_mut();
+        let mut services = self.services.borrow_mut();
         for spec in &view.config.services {
-            let desk = desks
+            let context = services
                 .entry(spec.name.clone())
-                .or_insert_with(|| self.new_desk(spec));
-            *desk.spec.borrow_mut() = spec.clone();
+                .or_insert_with(|| self.new_service(spec));
+            *context.spec.borrow_mut() = spec.clone();
             let slack = self.shared.settings.retries.slack / view.share_count();
-            desk.allowance.borrow_mut().set_slack(slack);
+            context.allowance.borrow_mut().set_slack(slack);
         }
-        for (service, desk) in desks.iter() {
-            self.refresh_targets(view, service, desk);
-            check_restarts(self, desk);
+        for (service, context) in services.iter() {
+            self.refresh_targets(view, service, context);
+            check_restarts(self, context);
         }
     }
 
-    fn new_desk(self: &Rc<Self>, spec: &Arc<ServiceSpec>) -> Rc<ServiceContext> {
-        let repeats = self.shared.settings.retries;
-        let allowance = RetryAllowance::new(repeats.window, repeats.ratio, 0.0);
+    fn new_service(self: &Rc<Self>, spec: &Arc<ServiceSpec>) -> Rc<ServiceContext> {
+        let retries = self.shared.settings.retries;
+        let allowance = RetryAllowance::new(retries.window, retries.ratio, 0.0);
         let (traffic, service) = (Rc::downgrade(self), spec.name.clone());
         let on_change = move || {
             let traffic = traffic.upgrade();
-            let desk = traffic
+            let context = traffic
                 .as_ref()
                 .and_then(|traffic| traffic.service(&service));
-            if let Some((traffic, desk)) = traffic.zip(desk) {
-                desk.line.wake_first();
-                traffic.refresh_pieces(&desk);
+            if let Some((traffic, context)) = traffic.zip(context) {
+                context.wait_queue.wake_first();
+                traffic.refresh_pieces(&context);
             }
         };
         let limits = ServiceLimits::new(self.peers.clone(), spec.name.clone(), on_change);
         ServiceContext::new(spec.clone(), allowance, limits)
     }
 
-    fn refresh_targets(&self, view: &RouteView, service: &str, desk: &ServiceContext) {
+    fn refresh_targets(&self, view: &RouteView, service: &str, context: &ServiceContext) {
         let targets = view.targets.values();
         let own = targets.filter(|target| &*target.service == service);
-        let mut board = desk.targets.borrow_mut();
-        let before: Vec<_> = board.all_targets().cloned().collect();
-        board.set_targets(own);
+        let mut table = context.targets.borrow_mut();
+        let before: Vec<_> = table.all_targets().cloned().collect();
+        table.set_targets(own);
         for target in before {
-            let listed = board.get(&target.id);
+            let listed = table.get(&target.id);
             if listed.is_some_and(|listed| listed.process_start == target.process_start) {
                 continue;
             }
-            self.shelf.borrow_mut().close_all(target.address);
+            self.pool.borrow_mut().close_all(target.address);
             if listed.is_none() && target.leaving {
                 self.crashes.record_departure(&target);
             }
         }
         let now = self.shared.now();
-        desk.limits.table.borrow_mut().retain_listed(now, &board);
-        let mut engines = desk.engines.borrow_mut();
-        engines.retain_listed(&board);
-        if let Some(engine) = &desk.spec.borrow().engine {
+        context.limits.table.borrow_mut().retain_listed(now, &table);
+        let mut engines = context.engines.borrow_mut();
+        engines.retain_listed(&table);
+        if let Some(engine) = &context.spec.borrow().engine {
             engines.set_capacity(engine.cache_tokens);
         }
-        drop(board);
-        desk.refresh_cells();
+        drop(table);
+        context.refresh_cells();
     }
 
     /// Tells whether no other node lives.
@@ -174,23 +174,27 @@
     }
 
     /// Notes that a target gave results up, whose room is free now.
-    pub(crate) fn handle_released(self: &Rc<Self>, desk: &Rc<ServiceContext>, handles: &[String]) {
-        for cell in self.cells(desk) {
-            let mut board = cell.pieces.board.borrow_mut();
+    pub(crate) fn handle_released(
+        self: &Rc<Self>,
+        context: &Rc<ServiceContext>,
+        handles: &[String],
+    ) {
+        for cell in self.cells(context) {
+            let mut scheduler = cell.queue.scheduler.borrow_mut();
             for handle in handles {
-                board.record_release(handle);
+                scheduler.record_release(handle);
             }
-            drop(board);
-            cell.pump();
+            drop(scheduler);
+            cell.dispatch();
         }
     }
 
-    fn cells(self: &Rc<Self>, desk: &Rc<ServiceContext>) -> Vec<PieceCell> {
-        let cells = desk.cells.borrow();
-        let cells = cells.iter().map(|pieces| PieceCell {
+    fn cells(self: &Rc<Self>, context: &Rc<ServiceContext>) -> Vec<PieceCell> {
+        let cells = context.cells.borrow();
+        let cells = cells.iter().map(|queue| PieceCell {
             traffic: self.clone(),
-            desk: desk.clone(),
-            pieces: pieces.clone(),
+            context: context.clone(),
+            queue: queue.clone(),
         });
         cells.collect()
     }
@@ -198,17 +202,17 @@
 
 /// Takes each change of the view into force.
 pub(crate) async fn follow_changes(traffic: Rc<Traffic>, changes: Receiver<()>) {
-    let mut has_handed_back = false;
+    let mut has_returned = false;
     while changes.recv().await.is_ok() {
         traffic.current_view();
-        let hands_back = traffic.shared.is_draining() && !has_handed_back && !traffic.is_alone();
-        has_handed_back |= hands_back;
-        for desk in traffic.all_services() {
-            for cell in traffic.cells(&desk) {
-                if hands_back {
-                    cell.hand_back();
+        let returns_pieces = traffic.shared.is_draining() && !has_returned && !traffic.is_alone();
+        has_returned |= returns_pieces;
+        for context in traffic.all_services() {
+            for cell in traffic.cells(&context) {
+                if returns_pieces {
+                    cell.return_pieces();
                 }
-                cell.pump();
+                cell.dispatch();
             }
         }
     }
@@ -217,8 +221,8 @@
 /// Closes idle connections to targets in time.
 pub(crate) async fn close_idle_connections(traffic: Rc<Traffic>) {
     loop {
-        Timer::after(SWEEP_PAUSE).await;
+        Timer::after(SWEEP_INTERVAL).await;
         let now = traffic.shared.now();
-        traffic.shelf.borrow_mut().close_expired(now);
+        traffic.pool.borrow_mut().close_expired(now);
     }
 }
--- a/packages/turnford-serve/src/wait.rs
+++ b/packages/turnford-serve/src/wait.rs
@@ -9,15 +9,15 @@
 use crate::shared::ServeShared;
 
 /// Longest wait for one timer: after a sleep, what is due is found out within this.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_TIMER_WAIT: Duration = Duration::from_secs(1);
 
 /// Waits until a moment.
 pub(crate) async fn wait_until(shared: &ServeShared, until: Moment) {
     loop {
-        let left = until.saturating_sub(shared.now());
-        if left.is_zero() {
+        let remaining = until.saturating_sub(shared.now());
+        if remaining.is_zero() {
             return;
         }
-        Timer::after(left.min(LONGEST_WAIT)).await;
+        Timer::after(remaining.min(MAX_TIMER_WAIT)).await;
     }
 }
--- a/packages/turnford-serve/src/wait_queue.rs
+++ b/packages/turnford-serve/src/wait_queue.rs
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub(crate) struct WaitQueue {
     waiting: RefCell<BTreeMap<QueueKey, Sender<()>>>,
-    next: Cell<u64>,
+    next_sequence: Cell<u64>,
 }
 
 impl WaitQueue {
@@ -34,55 +34,55 @@
     }
 
     /// Adds a request; it leaves when what is returned is dropped.
-    pub(crate) fn enter(
+    pub(crate) fn join(
         self: &Rc<Self>,
         ranks: (ClassRank, ClassRank),
         due: Moment,
     ) -> QueuePosition {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let key = (ranks.0, ranks.1, due, number);
-        let (wake, woken) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(key, wake);
+        let sequence = self.next_sequence.get();
+        self.next_sequence.set(sequence + 1);
+        let key = (ranks.0, ranks.1, due, sequence);
+        let (waker, wakeups) = async_channel::bounded(1);
+        self.waiting.borrow_mut().insert(key, waker);
         QueuePosition {
-            line: self.clone(),
+            queue: self.clone(),
             key,
-            woken,
+            wakeups,
         }
     }
 
     /// Has the first request look again.
     pub(crate) fn wake_first(&self) {
-        if let Some(wake) = self.waiting.borrow().values().next() {
+        if let Some(waker) = self.waiting.borrow().values().next() {
             // A full channel holds a wake-up already.
-            let _ = wake.try_send(());
+            let _ = waker.try_send(());
         }
     }
 }
 
 /// A request's place in a line.
 pub(crate) struct QueuePosition {
-    line: Rc<WaitQueue>,
+    queue: Rc<WaitQueue>,
     key: QueueKey,
-    woken: Receiver<()>,
+    wakeups: Receiver<()>,
 }
 
 impl QueuePosition {
     /// Returns how many go before.
     pub(crate) fn ahead(&self) -> usize {
-        self.line.waiting.borrow().range(..self.key).count()
+        self.queue.waiting.borrow().range(..self.key).count()
     }
 
     /// Waits until it may be this request's turn.
-    pub(crate) async fn wait_woken(&self) {
+    pub(crate) async fn wait_wakeup(&self) {
         // The line keeps the other side for as long as this place is there.
-        let _ = self.woken.recv().await;
+        let _ = self.wakeups.recv().await;
     }
 }
 
 impl Drop for QueuePosition {
     fn drop(&mut self) {
-        self.line.waiting.borrow_mut().remove(&self.key);
-        self.line.wake_first();
+        self.queue.waiting.borrow_mut().remove(&self.key);
+        self.queue.wake_first();
     }
 }
--- a/packages/turnford-serve/src/work.rs
+++ b/packages/turnford-serve/src/work.rs
@@ -53,40 +53,37 @@
         {
             WorkReply::Refused
         }
-        WorkRequest::Pieces(ask) => answer_pieces(&traffic, ask).await,
-        WorkRequest::Admit(ask) => answer_admit(&traffic, ask),
+        WorkRequest::Pieces(request) => answer_pieces(&traffic, request).await,
+        WorkRequest::Admit(request) => answer_admit(&traffic, request),
         WorkRequest::Forecast {
             service,
             ticket,
             is_late,
         } => answer_forecast(&traffic, &service, ticket, is_late),
-        WorkRequest::Place(ask) => answer_place(&traffic, ask),
-        WorkRequest::Crashes(news) => answer_crashes(&traffic, news),
+        WorkRequest::Place(request) => answer_place(&traffic, request),
+        WorkRequest::Crashes(updates) => answer_crashes(&traffic, updates),
         WorkRequest::CrashSync { sum, is_new } => answer_crash_sync(&traffic, sum, is_new),
         WorkRequest::LimitReport(report) => match limits_of(&traffic, &report.service) {
             Some(limits) => answer_report(&limits, &report),
             None => WorkReply::Refused,
         },
-        WorkRequest::Permit(ask) => match limits_of(&traffic, &ask.service) {
-            Some(limits) => WorkReply::Permit(limits.grant(&ask)),
+        WorkRequest::Permit(request) => match limits_of(&traffic, &request.service) {
+            Some(limits) => WorkReply::Permit(limits.grant(&request)),
             None => WorkReply::Refused,
         },
-        WorkRequest::Limits(news) => {
-            for news in &news {
-                if let Some(limits) = limits_of(&traffic, &news.service) {
-                    answer_limits(&limits, news);
+        WorkRequest::Limits(updates) => {
+            for updates in &updates {
+                if let Some(limits) = limits_of(&traffic, &updates.service) {
+                    answer_limits(&limits, updates);
                 }
             }
             WorkReply::Ack
         }
         WorkRequest::LimitSync(marks) => answer_limit_sync(&traffic, &marks),
-        WorkRequest::Leaving(news) => answer_leaving(&traffic, news),
-        WorkRequest::Backoff(news) => answer_backoff(&traffic, &news),
-        WorkRequest::Progress {
-            service,
-            updates: news,
-        } => {
-            answer_progress(&traffic, &service, &news);
+        WorkRequest::Leaving(updates) => answer_leaving(&traffic, updates),
+        WorkRequest::Backoff(updates) => answer_backoff(&traffic, &updates),
+        WorkRequest::Progress { service, updates } => {
+            answer_progress(&traffic, &service, &updates);
             WorkReply::Ack
         }
         WorkRequest::Release { service, results } => {
