--- a/packages/turnford-serve/tests/bad_calls.rs
+++ b/packages/turnford-serve/tests/bad_calls.rs
@@ -1,4 +1,4 @@
-//! A client's bad request gets its status, and nothing runs.
+//! A client's invalid request gets the matching status, and nothing runs.
 
 mod common;
 
@@ -14,9 +14,9 @@
     (site, node)
 }
 
-fn refused(ask: ClientRequest<'_>, status: u16) {
+fn refused(request: ClientRequest<'_>, status: u16) {
     let (site, node) = site();
-    let answer = site.call(node, ask).expect("an answer");
+    let answer = site.call(node, request).expect("an answer");
     assert_eq!(answer.status, status, "{}", text(&answer));
     assert!(text(&answer).contains(r#""ran":"no""#), "{}", text(&answer));
     assert_eq!(site.journal.runs(), []);
@@ -29,16 +29,16 @@
 
 #[test]
 fn no_key() {
-    let mut ask = ClientRequest::new("a1", "/hold/1");
-    ask.key = None;
-    refused(ask, 401);
+    let mut request = ClientRequest::new("a1", "/hold/1");
+    request.key = None;
+    refused(request, 401);
 }
 
 #[test]
 fn unknown_key() {
-    let mut ask = ClientRequest::new("a1", "/hold/1");
-    ask.key = Some("key-nobody");
-    refused(ask, 401);
+    let mut request = ClientRequest::new("a1", "/hold/1");
+    request.key = Some("key-nobody");
+    refused(request, 401);
 }
 
 #[test]
@@ -48,21 +48,21 @@
 
 #[test]
 fn odd_numbers() {
-    let mut ask = ClientRequest::new("a1", "/hold/1");
-    ask.headers = &[("x-turnford-token-counts", "many")];
-    refused(ask, 400);
-    ask.headers = &[("x-turnford-deadline-ms", "soon")];
-    refused(ask, 400);
-    ask.headers = &[("x-turnford-pieces", "2,-1")];
-    refused(ask, 400);
+    let mut request = ClientRequest::new("a1", "/hold/1");
+    request.headers = &[("x-turnford-token-counts", "many")];
+    refused(request, 400);
+    request.headers = &[("x-turnford-deadline-ms", "soon")];
+    refused(request, 400);
+    request.headers = &[("x-turnford-pieces", "2,-1")];
+    refused(request, 400);
 }
 
 #[test]
 fn long_body() {
     let body = "x".repeat(5000);
-    let mut ask = ClientRequest::new("a1", "/hold/1");
-    ask.body = &body;
-    refused(ask, 413);
+    let mut request = ClientRequest::new("a1", "/hold/1");
+    request.body = &body;
+    refused(request, 413);
 }
 
 #[test]
--- a/packages/turnford-serve/tests/client_leaves.rs
+++ b/packages/turnford-serve/tests/client_leaves.rs
@@ -1,4 +1,4 @@
-//! Work for a client that left ends at its target.
+//! Work for a disconnected client ends at its target.
 
 mod common;
 
@@ -14,14 +14,15 @@
 use turnford_standin::RunKind;
 use turnford_standin::TargetRole;
 
-/// A stage whose call goes on for some time after its client left.
+/// A stage whose call goes on for some time after its client has disconnected.
 const LONG_STAGE: TargetRole = TargetRole::Stage {
     call_overhead: Duration::from_millis(1000),
     piece_time: Duration::from_millis(1),
 };
 
-/// Time after which nothing of a request may begin any more, with the rest of the call at work.
-const QUIET_SPAN: Duration = Duration::from_millis(2500);
+/// Time after which nothing of a request may start any more. It covers the rest of the running
+/// call.
+const QUIET_TIME: Duration = Duration::from_millis(2500);
 
 /// Sends a request with stages and leaves its connection open.
 fn send_staged(site: &RouteSite, node: usize, attempt: &str) -> TcpStream {
@@ -46,7 +47,7 @@
 
 #[test]
 fn stages_end() {
-    // The first stage is at work when the client leaves: nothing after it begins.
+    // The first stage is running when the client disconnects: nothing after it starts.
     let mut site = RouteSite::new();
     let kort = site.target("k1", "kort", LONG_STAGE);
     site.target("e1", "ejer", STAGE);
@@ -55,14 +56,14 @@
     let stream = send_staged(&site, node, "a1");
     wait_until("the first stage runs", || kort.piece_calls() > 0);
     drop(stream);
-    std::thread::sleep(QUIET_SPAN);
+    std::thread::sleep(QUIET_TIME);
     assert_eq!(pieces_at(&site, "e1", "a1"), 0, "no second stage");
     assert!(site.journal.requests("a1").is_empty(), "no request");
 }
 
 #[test]
 fn held_pieces_end() {
-    // The pieces wait behind another request's when their client leaves: they are never run.
+    // The pieces are queued behind another request's when their client disconnects: they never run.
     let mut site = RouteSite::new();
     let kort = site.target("k1", "kort", LONG_STAGE);
     site.target("e1", "ejer", STAGE);
@@ -74,9 +75,13 @@
     let leaving = nodes.map(|node| send_staged(&site, node, &format!("a{}", node + 1)));
     std::thread::sleep(Duration::from_millis(150));
     drop(leaving);
-    std::thread::sleep(QUIET_SPAN);
+    std::thread::sleep(QUIET_TIME);
     for attempt in ["a1", "a2"] {
-        assert_eq!(pieces_at(&site, "k1", attempt), 0, "{attempt} never began");
+        assert_eq!(
+            pieces_at(&site, "k1", attempt),
+            0,
+            "{attempt} never started"
+        );
     }
     assert!(
         pieces_at(&site, "e1", "a0") > 0,
@@ -103,7 +108,7 @@
         site.metrics(node).contains("turnford_running 1\n")
     });
     drop(stream);
-    wait_until("the node lets it go", || {
+    wait_until("the node cancels it", || {
         site.metrics(node).contains("turnford_running 0\n")
     });
     let metrics = site.metrics(node);
--- a/packages/turnford-serve/tests/common/mod.rs
+++ b/packages/turnford-serve/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small site on loopback: a store, targets, and nodes that serve routes.
+//! A test site on loopback: a store, targets, and nodes that serve routes.
 
 #![allow(dead_code)]
 
@@ -27,22 +27,22 @@
 use turnford_standin::SharedExecutor;
 use turnford_standin::TargetRole;
 
-/// Longest wait for anything; tests end much sooner.
+/// Upper bound of any wait; tests end much sooner.
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
 
-/// Time that clients give their requests.
+/// Timeout that clients set for their requests.
 pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Short work of a plain service.
+/// A plain service with short calls.
 pub(crate) const QUICK: TargetRole = TargetRole::Plain(Duration::from_millis(5));
 
-/// Targets of a stage that work quickly.
+/// A fast target of a stage.
 pub(crate) const STAGE: TargetRole = TargetRole::Stage {
     call_overhead: Duration::from_millis(30),
     piece_time: Duration::from_millis(1),
 };
 
-/// An engine with a short answer.
+/// An engine with a short response.
 pub(crate) const ENGINE: TargetRole = TargetRole::Engine {
     first_event: Duration::from_millis(10),
     event_gap: Duration::from_millis(5),
@@ -58,16 +58,16 @@
     pub(crate) client: HttpClient,
 }
 
-/// A running node and where it is.
+/// A running node with its settings.
 pub(crate) struct SiteNode {
     pub(crate) node: Option<ServeNode>,
     pub(crate) settings: ServeSettings,
-    /// Its own door to the store.
+    /// The node's own entry point to the store.
     pub(crate) door: usize,
 }
 
 impl RouteSite {
-    /// Makes a site without targets and nodes.
+    /// Creates a site without targets and nodes.
     pub(crate) fn new() -> Self {
         let store = MetaStore::new();
         store.put("config", "main", config(1));
@@ -80,7 +80,6 @@
         }
     }
 
-    /// Starts a target.
     pub(crate) fn target(&self, id: &str, service: &str, role: TargetRole) -> RouteTarget {
         RouteTarget::start(
             &self.executor,
@@ -93,16 +92,16 @@
         .expect("a free port")
     }
 
-    /// Starts a node and waits until it takes requests.
+    /// Starts a node and waits until it accepts requests.
     pub(crate) fn node(&mut self, name: &str) -> usize {
         let number = self.node_unready(name);
         self.wait_ready(number);
         number
     }
 
-    /// Starts a node in a hall of its own that finds the others through the store alone, and waits until
-    /// it takes requests.
-    pub(crate) fn node_apart(&mut self, name: &str, hall: &str) -> usize {
+    /// Starts a node in a hall of its own that finds the others only through the store, and waits
+    /// until it accepts requests.
+    pub(crate) fn node_in_hall(&mut self, name: &str, hall: &str) -> usize {
         let (door, store) = self
             .store
             .open_endpoint(&self.executor)
@@ -121,17 +120,17 @@
         });
     }
 
-    /// Starts a node.
+    /// Starts a node without waiting until it is ready.
     pub(crate) fn node_unready(&mut self, name: &str) -> usize {
-        self.start_seeded(name, EndpointState::Open)
+        self.start_with_peers(name, EndpointState::Open)
     }
 
-    /// Starts a node that the store turns away until its door is opened.
-    pub(crate) fn node_held(&mut self, name: &str) -> usize {
-        self.start_seeded(name, EndpointState::Unavailable)
+    /// Starts a node that the store refuses until its entry point is opened.
+    pub(crate) fn node_without_store(&mut self, name: &str) -> usize {
+        self.start_with_peers(name, EndpointState::Unavailable)
     }
 
-    fn start_seeded(&mut self, name: &str, state: EndpointState) -> usize {
+    fn start_with_peers(&mut self, name: &str, state: EndpointState) -> usize {
         let (door, store) = self
             .store
             .open_endpoint(&self.executor)
@@ -152,14 +151,14 @@
         self.nodes.len() - 1
     }
 
-    /// Sends a request to a node and reads its whole answer.
+    /// Sends a request to a node and reads the whole response.
     pub(crate) fn call(
         &self,
         node: usize,
-        ask: ClientRequest<'_>,
+        request: ClientRequest<'_>,
     ) -> Result<BufferedResponse, HttpError> {
         let to = self.nodes[node].settings.listen;
-        let request = ask.request(to);
+        let request = request.request(to);
         async_io::block_on(self.client.send(to, request, LIMIT))
     }
 
@@ -175,7 +174,7 @@
         String::from_utf8(answer.expect("metrics").body).expect("text")
     }
 
-    /// Asks a node whether it takes requests, as the platform does.
+    /// Returns the status of a node's readiness check, as the platform sends it.
     pub(crate) fn readiness(&self, node: usize) -> u16 {
         let to = self.nodes[node].settings.ready;
         let request = HttpClient::request(Method::GET, to, "/v1/readiness").expect("a path");
@@ -188,7 +187,7 @@
         self.settle_with(self.nodes.len() - 1);
     }
 
-    /// Waits until all nodes know so many others.
+    /// Waits until all nodes know the given number of others.
     pub(crate) fn settle_with(&self, others: usize) {
         for number in 0..self.nodes.len() {
             let line = format!("turnford_members {others}\n");
@@ -210,7 +209,7 @@
 }
 
 impl<'a> ClientRequest<'a> {
-    /// Makes a request with a valid key.
+    /// Creates a request with a valid key.
     pub(crate) fn new(attempt: &'a str, path: &'a str) -> Self {
         Self {
             attempt,
@@ -221,13 +220,13 @@
         }
     }
 
-    /// Returns the request to a node.
+    /// Returns the HTTP request to a node.
     pub(crate) fn request(&self, to: SocketAddr) -> HttpRequest {
         let mut request = HttpClient::request(Method::POST, to, self.path).expect("a path");
         request.insert_header("host", "site.example");
         request.insert_header("x-turnford-attempt-id", self.attempt);
-        let names_patience = |(name, _): &(&str, &str)| *name == "x-turnford-deadline-ms";
-        if !self.headers.iter().any(names_patience) {
+        let sets_timeout = |(name, _): &(&str, &str)| *name == "x-turnford-deadline-ms";
+        if !self.headers.iter().any(sets_timeout) {
             request.insert_header(
                 "x-turnford-deadline-ms",
                 CLIENT_TIMEOUT.as_millis().to_string(),
@@ -256,7 +255,7 @@
     ("x-turnford-piece-key", "7c1e07a291bd"),
 ];
 
-/// Returns settings whose ports the system chooses.
+/// Returns settings with ports chosen by the system.
 pub(crate) fn settings(name: &str, store: SocketAddr, peers: Vec<SocketAddr>) -> ServeSettings {
     ServeSettings {
         name: Arc::from(name),
@@ -282,12 +281,12 @@
     }
 }
 
-/// Returns an address whose port the system chooses.
+/// Returns an address with a port chosen by the system.
 fn free_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Returns a configuration of some version.
+/// Returns a configuration with the given version.
 pub(crate) fn config(version: u64) -> Value {
     json!({
         "version": version,
@@ -335,14 +334,14 @@
 
 /// Waits until a condition holds.
 pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < LIMIT, "not within {LIMIT:?}: {what}");
+        assert!(started_at.elapsed() < LIMIT, "not within {LIMIT:?}: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Returns an answer's body as text.
+/// Returns a response's body as text.
 pub(crate) fn text(answer: &BufferedResponse) -> String {
     String::from_utf8(answer.body.clone()).expect("text")
 }
--- a/packages/turnford-serve/tests/gathered_pieces.rs
+++ b/packages/turnford-serve/tests/gathered_pieces.rs
@@ -1,4 +1,4 @@
-//! One node gathers the pieces of all; without it the others go on.
+//! One node batches the pieces of all nodes. If it stops, the others go on.
 
 mod common;
 
@@ -12,13 +12,13 @@
 use turnford_standin::RunKind;
 use turnford_standin::TargetRole;
 
-/// Targets slow enough that pieces gather while a call is at work.
+/// Targets slow enough for pieces to accumulate during a call.
 const SLOW_STAGE: TargetRole = TargetRole::Stage {
     call_overhead: Duration::from_millis(200),
     piece_time: Duration::from_millis(1),
 };
 
-/// Targets whose calls go on for some time after a node began to stop.
+/// Targets whose calls go on for some time after a node has begun to stop.
 const LONG_STAGE: TargetRole = TargetRole::Stage {
     call_overhead: Duration::from_millis(600),
     piece_time: Duration::from_millis(1),
@@ -39,9 +39,9 @@
         for (number, name) in names.iter().enumerate() {
             let node = nodes[number % nodes.len()];
             scope.spawn(move || {
-                let mut ask = ClientRequest::new(name, "/chat/");
-                ask.headers = STAGED;
-                let answer = site.call(node, ask).expect("an answer");
+                let mut request = ClientRequest::new(name, "/chat/");
+                request.headers = STAGED;
+                let answer = site.call(node, request).expect("an answer");
                 assert_eq!(answer.status, 200, "{name} at node {node}");
             });
         }
@@ -58,7 +58,7 @@
     site.settle();
     let names: Vec<String> = (0..12).map(|number| format!("a{number}")).collect();
     call_all(&site, &nodes, &names);
-    // 24 pieces in calls of eight: the first call takes what is there, the others are full.
+    // 24 pieces in calls of up to eight: the first call takes what is queued, the others are full.
     let calls = calls_of(&site, "k1").len();
     assert!(calls <= 5, "{calls} calls for 24 pieces");
 }
@@ -71,7 +71,8 @@
     site.target("s1", "sprog", ENGINE);
     let nodes: Vec<usize> = ["one", "two", "three"].map(|name| site.node(name)).to_vec();
     site.settle();
-    // Whichever node gathers, one of these stops is its own; the one that is left serves all.
+    // Whichever node batches, one of these stops affects it. The remaining node serves all
+    // requests.
     for stopped in [0, 1] {
         let node = site.nodes[stopped].node.take().expect("a node");
         let left: Vec<usize> = nodes[stopped + 1..].to_vec();
@@ -90,8 +91,8 @@
 
 #[test]
 fn silent_target() {
-    // A target falls silent while more pieces wait than the other one can take at once: its pieces go
-    // to the other one soon, and all requests are served.
+    // A target stops responding while more pieces are queued than the other one can take at once.
+    // Its pieces soon go to the other target, and all requests are served.
     let mut site = RouteSite::new();
     let silent = site.target("k1", "kort", SLOW_STAGE);
     site.target("k2", "kort", SLOW_STAGE);
@@ -106,14 +107,14 @@
 
 #[test]
 fn stop_finishes() {
-    // A node that stops refuses new pieces, and finishes those that it has: none is made twice.
+    // A stopping node refuses new pieces and completes those that it has: no piece runs twice.
     let mut site = RouteSite::new();
     site.target("k1", "kort", LONG_STAGE);
     site.target("e1", "ejer", LONG_STAGE);
     site.target("s1", "sprog", ENGINE);
     let nodes: Vec<usize> = ["one", "two", "three"].map(|name| site.node(name)).to_vec();
     site.settle();
-    // Whichever node gathers, one of these stops is its own.
+    // Whichever node batches, one of these stops affects it.
     for stopped in [0, 1] {
         let left = &nodes[stopped + 1..];
         let site = &site;
--- a/packages/turnford-serve/tests/hopeless_requests.rs
+++ b/packages/turnford-serve/tests/hopeless_requests.rs
@@ -1,5 +1,5 @@
-//! A request that can't be served within its deadline is refused once that is known; one that can
-//! is held and served, however long it takes.
+//! A request that can't be served within its deadline is refused once this is known. A request that
+//! can be served is held and served, however long it takes.
 
 mod common;
 
@@ -14,26 +14,27 @@
 use common::STAGED;
 use turnford_standin::TargetRole;
 
-/// The stage before the one that is lost takes long enough for the loss to be known.
-const FIRST: TargetRole = TargetRole::Stage {
+/// The stage before the lost one takes long enough for the loss to be noticed.
+const FIRST_STAGE: TargetRole = TargetRole::Stage {
     call_overhead: Duration::from_millis(800),
     piece_time: Duration::from_millis(1),
 };
 
-/// Time from the end of that stage in which a hopeless request is refused, on a busy machine.
-const SOON: Duration = Duration::from_millis(1500);
+/// Time from the end of that stage within which an infeasible request is refused, on a busy
+/// machine.
+const REFUSAL_TIME: Duration = Duration::from_millis(1500);
 
 fn staged(attempt: &str) -> ClientRequest<'_> {
-    let mut ask = ClientRequest::new(attempt, "/chat/");
-    ask.headers = STAGED;
-    ask
+    let mut request = ClientRequest::new(attempt, "/chat/");
+    request.headers = STAGED;
+    request
 }
 
 #[test]
 fn stage_lost() {
-    // All targets of a later stage leave while the first one is at work.
+    // All targets of a later stage leave while the first stage is running.
     let mut site = RouteSite::new();
-    site.target("k1", "kort", FIRST);
+    site.target("k1", "kort", FIRST_STAGE);
     let later = site.target("e1", "ejer", common::STAGE);
     site.target("s1", "sprog", ENGINE);
     let nodes = [site.node("one"), site.node("two")];
@@ -45,28 +46,31 @@
             site.metrics(node).contains("turnford_targets 3\n")
         });
         let attempt = format!("a{node}");
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let answer = std::thread::scope(|scope| {
             let call = scope.spawn(|| site.call(node, staged(&attempt)));
             std::thread::sleep(Duration::from_millis(150));
             later.unpublish();
             call.join().expect("no panic").expect("an answer")
         });
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         assert_eq!(answer.status, 503, "{}", text(&answer));
         assert!(text(&answer).contains(r#""ran":"no""#));
         let back = answer.header("retry-after").expect("a time to come back");
         let back: f64 = back.parse().expect("seconds");
         assert!((0.01..=10.0).contains(&back), "{back}");
-        assert!(took < Duration::from_millis(800) + SOON, "after {took:?}");
+        assert!(
+            took < Duration::from_millis(800) + REFUSAL_TIME,
+            "after {took:?}"
+        );
     }
 }
 
 #[test]
 fn refused_first() {
-    // Nothing is begun for a request whose later stage has no target.
+    // Nothing starts for a request whose later stage has no target.
     let mut site = RouteSite::new();
-    site.target("k1", "kort", FIRST);
+    site.target("k1", "kort", FIRST_STAGE);
     site.target("s1", "sprog", ENGINE);
     let node = site.node("one");
     let answer = site.call(node, staged("a1")).expect("an answer");
@@ -76,7 +80,8 @@
 
 #[test]
 fn slow_served() {
-    // The stages take forty times as long as the configuration says, and much longer than the goal.
+    // The stages take forty times as long as configured, and much longer than the latency
+    // objective.
     let mut site = RouteSite::new();
     let slow = TargetRole::Stage {
         call_overhead: Duration::from_millis(2000),
--- a/packages/turnford-serve/tests/muted_links.rs
+++ b/packages/turnford-serve/tests/muted_links.rs
@@ -1,4 +1,4 @@
-//! Open connections that fall silent without a reset are found out, and new ones taken.
+//! Open connections that stop responding without a reset are detected and replaced.
 
 mod common;
 
@@ -13,8 +13,8 @@
 use turnford_serve::ServeNode;
 use turnford_standin::LinkProxy;
 
-/// Time in which a change has to be in force: the longest watch, its margin, and the next call.
-const BOUND: Duration = Duration::from_secs(6);
+/// Time within which a change must be in force: the longest watch, its margin, and the next call.
+const MAX_DELAY: Duration = Duration::from_secs(6);
 
 #[test]
 fn store_muted() {
@@ -29,13 +29,13 @@
     wait_until("the node is ready", || node.is_ready());
     for version in 2..5 {
         link.blackhole_open();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         site.store.put("config", "main", config(version));
         let line = format!("turnford_config_version {version}\n");
         wait_until("the change is in force", || {
             site.metrics_at(node.settings().metrics).contains(&line)
         });
-        let taken = begun.elapsed();
-        assert!(taken < BOUND, "in force after {taken:?}");
+        let taken = started_at.elapsed();
+        assert!(taken < MAX_DELAY, "in force after {taken:?}");
     }
 }
--- a/packages/turnford-serve/tests/planned_stop.rs
+++ b/packages/turnford-serve/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request.
+//! A planned stop interrupts no request.
 
 mod common;
 
@@ -34,7 +34,8 @@
 
 #[test]
 fn late_arrivals() {
-    // What can't be finished any more is refused as not run, so that another node takes it.
+    // A request that can't complete before the stop is refused as not run, so that another node
+    // takes it.
     let mut site = RouteSite::new();
     let engine = TargetRole::Engine {
         first_event: Duration::from_millis(10),
@@ -46,7 +47,7 @@
     let running = site.nodes[node].node.take().expect("a node");
     let site = &site;
     std::thread::scope(|scope| {
-        // One request keeps the node from ending early.
+        // A running request keeps the node from stopping early.
         let first = scope.spawn(|| site.call(node, ClientRequest::new("a1", "/draft/")));
         common::wait_until("the request runs", || site.journal.runs_of("a1").len() == 1);
         let stop = scope.spawn(|| async_io::block_on(running.drain()));
--- a/packages/turnford-serve/tests/resting_targets.rs
+++ b/packages/turnford-serve/tests/resting_targets.rs
@@ -1,9 +1,9 @@
-//! Targets that turn a request away and ask for rest.
+//! Targets that refuse a request and ask for backoff.
 //!
-//! A plain target that shed load answered 503 with 3 s of rest, and got four requests more from the same
-//! node within them, where two that cross are allowed. The node did not read the time: it paused the
-//! target for 250 ms, let any good answer end the pause, and asked it all the same where no other
-//! target was left.
+//! Guards against a node that ignores the requested backoff: it paused the target for 250 ms only,
+//! ended the pause at any successful response, and still called the target if no other one was
+//! left. A plain target that asked for 3 s of backoff got four more requests from the same node in
+//! that time, where two crossing ones are allowed.
 
 mod common;
 
@@ -23,25 +23,25 @@
 use turnford_standin::TargetRole;
 use turnford_standin::BACKOFF_GRACE;
 
-/// Longest time until a refusal that needs nothing but what the node knows.
-const AT_ONCE: Duration = Duration::from_millis(200);
+/// Upper bound of the time to refuse a request if the node decides by its own state alone.
+const IMMEDIATE: Duration = Duration::from_millis(200);
 
-/// Sends a request to a node; returns its status.
+/// Sends a request to a node and returns its status.
 fn send(site: &RouteSite, node: usize, attempt: &str, path: &str) -> u16 {
     let answer = site.call(node, ClientRequest::new(attempt, path));
     answer.expect("an answer").status
 }
 
-fn broken_rests(target: &RouteTarget) -> usize {
+fn backoff_violations(target: &RouteTarget) -> usize {
     let arrivals = target.arrivals().into_iter();
     arrivals.filter(|call| call.violates_backoff).count()
 }
 
-/// Sends a request each few milliseconds for so long; returns the statuses.
+/// Sends a request every few milliseconds for the given time and returns the statuses.
 fn send_for(site: &RouteSite, span: Duration, path: &str) -> Vec<u16> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut statuses = Vec::new();
-    while begun.elapsed() < span {
+    while started_at.elapsed() < span {
         let attempt = format!("a{}", statuses.len());
         statuses.push(send(site, 0, &attempt, path));
         std::thread::sleep(Duration::from_millis(10));
@@ -57,7 +57,7 @@
     site.node("one");
     first.request_backoff(Duration::from_secs(3));
     let statuses = send_for(&site, Duration::from_secs(3), "/pay/1");
-    assert_eq!(broken_rests(&first), 0);
+    assert_eq!(backoff_violations(&first), 0);
     assert!(statuses.iter().all(|status| *status == 200));
     wait_until("it is used again", || {
         send(&site, 0, "later", "/pay/1");
@@ -68,8 +68,8 @@
 
 #[test]
 fn good_end_beside() {
-    // A call that was under way ends well after the target has asked for rest, and after the time in which
-    // calls may still cross that word.
+    // A call in flight ends successfully after the target has asked for backoff, and after the time
+    // in which calls may still cross that signal.
     let mut site = RouteSite::new();
     let slow = TargetRole::Plain(BACKOFF_GRACE + Duration::from_millis(400));
     let first = site.target("b1", "booking", slow);
@@ -78,33 +78,34 @@
         let under_way = scope.spawn(|| send(&site, 0, "before", "/hold/1"));
         wait_until("it runs", || !site.journal.runs_of("before").is_empty());
         first.request_backoff(Duration::from_millis(2500));
-        let ask = ClientRequest {
+        let request = ClientRequest {
             headers: &[("x-turnford-deadline-ms", "500")],
             ..ClientRequest::new("told", "/hold/1")
         };
-        assert_eq!(site.call(0, ask).expect("an answer").status, 503);
+        assert_eq!(site.call(0, request).expect("an answer").status, 503);
         assert_eq!(under_way.join().expect("an end"), 200);
     });
     for number in 0..10 {
         let attempt = format!("a{number}");
-        let ask = ClientRequest {
+        let request = ClientRequest {
             headers: &[("x-turnford-deadline-ms", "300")],
             ..ClientRequest::new(&attempt, "/hold/1")
         };
-        assert_eq!(site.call(0, ask).expect("an answer").status, 503);
+        assert_eq!(site.call(0, request).expect("an answer").status, 503);
         std::thread::sleep(Duration::from_millis(120));
     }
-    assert_eq!(broken_rests(&first), 0);
+    assert_eq!(backoff_violations(&first), 0);
 }
 
 #[test]
 fn shorter_word() {
-    // The second of two refusals, both under way together, asks for less; the first one's time holds.
+    // Two calls in flight are both refused, the second with a shorter backoff. The first backoff
+    // holds.
     let mut site = RouteSite::new();
     let first = site.target("b1", "booking", QUICK);
     site.node("one");
     first.inject_faults([TargetFault::Backoff("2.5"), TargetFault::Backoff("0.1")]);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
         for number in 0..2 {
             let site = &site;
@@ -114,19 +115,20 @@
     let told = first.arrivals().len();
     assert_eq!(told, 2);
     assert_eq!(send(&site, 0, "after", "/hold/1"), 200);
-    assert!(begun.elapsed() >= Duration::from_millis(2500));
+    assert!(started_at.elapsed() >= Duration::from_millis(2500));
     assert!(first.arrivals().len() > told);
 }
 
 #[test]
 fn all_rest() {
-    // Whoever can wait for the end of the rest is served after it; the others are told when at once.
+    // Requests that can wait for the end of the backoff are served after it. The others are told at
+    // once when to retry.
     let mut site = RouteSite::new();
     let first = site.target("b1", "booking", QUICK);
     site.node("one");
     first.request_backoff(Duration::from_millis(1500));
     let told = Instant::now();
-    // Its route lets it go to one target only.
+    // Its route allows one target only.
     assert_eq!(send(&site, 0, "told", "/hold/1"), 503);
     assert_eq!(send(&site, 0, "waits", "/hold/1"), 200);
     assert!(told.elapsed() >= Duration::from_millis(1500));
@@ -134,26 +136,31 @@
 
     first.request_backoff(Duration::from_secs(3));
     let hasty = |attempt| {
-        let ask = ClientRequest {
+        let request = ClientRequest {
             headers: &[("x-turnford-deadline-ms", "1000")],
             ..ClientRequest::new(attempt, "/hold/1")
         };
-        site.call(0, ask).expect("an answer")
+        site.call(0, request).expect("an answer")
     };
     assert_eq!(hasty("told-again").status, 503);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let answer = hasty("refused");
     assert_eq!(answer.status, 503, "{}", text(&answer));
-    assert!(begun.elapsed() < AT_ONCE, "{:?}", begun.elapsed());
+    assert!(
+        started_at.elapsed() < IMMEDIATE,
+        "{:?}",
+        started_at.elapsed()
+    );
     let back = answer.header("retry-after").expect("a time to come back");
     let back: f64 = back.parse().expect("seconds");
     assert!((2.0..4.5).contains(&back), "{back}");
-    assert_eq!(broken_rests(&first), 0);
+    assert_eq!(backoff_violations(&first), 0);
 }
 
 #[test]
 fn by_degrees() {
-    // Forty wait for the end of a rest; the target that just came back is not sent all at once.
+    // Forty requests wait for the end of a backoff. The target is not sent all of them at once when
+    // it ends.
     let mut site = RouteSite::new();
     let slow = TargetRole::Plain(Duration::from_millis(30));
     let first = site.target("b1", "booking", slow);
@@ -175,12 +182,13 @@
     let first_round = later.iter().filter(|call| call.at < soon).count();
     assert_eq!(later.len(), 40);
     assert!(first_round <= 2, "{first_round} came in the first round");
-    assert_eq!(broken_rests(&first), 0);
+    assert_eq!(backoff_violations(&first), 0);
 }
 
 #[test]
 fn placer_knows() {
-    // One node is asked for rest by an engine, whichever node places: it is sent to the other engine.
+    // An engine asks one node for backoff. Whichever node places, that node's requests go to the
+    // other engine.
     for node in 0..2 {
         let mut site = RouteSite::new();
         let engines = ["e1", "e2"].map(|id| site.target(id, "sprog", ENGINE));
@@ -189,7 +197,7 @@
         site.settle();
         engines[0].inject_faults([TargetFault::Backoff("3")]);
         let mut number = 0;
-        wait_until("the engine asks for rest", || {
+        wait_until("the engine asks for backoff", || {
             number += 1;
             send(&site, node, &format!("hear-{number}"), "/draft/1");
             !engines[0].arrivals().is_empty()
@@ -204,33 +212,34 @@
 
 #[test]
 fn pieces_rest() {
-    // A target of a stage that rests gets no pieces, no question for a report and no release.
+    // A target of a stage that has asked for backoff gets no pieces, no report request and no
+    // release.
     let mut site = RouteSite::new();
     let stages = ["k1", "k2"].map(|id| site.target(id, "kort", STAGE));
     site.target("e1", "ejer", STAGE);
     site.target("s1", "sprog", ENGINE);
     site.node("one");
     stages[0].request_backoff(Duration::from_secs(3));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut number = 0;
-    while begun.elapsed() < Duration::from_secs(3) {
+    while started_at.elapsed() < Duration::from_secs(3) {
         let attempt = format!("a{number}");
-        let ask = ClientRequest {
+        let request = ClientRequest {
             headers: STAGED,
             ..ClientRequest::new(&attempt, "/chat/1")
         };
-        let answer = site.call(0, ask).expect("an answer");
+        let answer = site.call(0, request).expect("an answer");
         assert_eq!(answer.status, 200, "{}", text(&answer));
         number += 1;
     }
     assert!(!stages[0].arrivals().is_empty());
-    assert_eq!(broken_rests(&stages[0]), 0);
+    assert_eq!(backoff_violations(&stages[0]), 0);
 }
 
 #[test]
 fn stage_rests() {
-    // The only target of a stage rests: who can wait is served after it, who can't is refused before any
-    // of its stages runs.
+    // The only target of a stage asks for backoff. Requests that can wait are served after it; the
+    // others are refused before any of their stages runs.
     for nodes in 1..=2 {
         let mut site = RouteSite::new();
         let stage = site.target("k1", "kort", STAGE);
@@ -240,40 +249,44 @@
             site.node(name);
         }
         site.settle();
-        let staged = |attempt: &str, patience: &'static str| {
-            let headers = [STAGED, &[("x-turnford-deadline-ms", patience)]].concat();
-            let ask = ClientRequest {
+        let staged = |attempt: &str, timeout: &'static str| {
+            let headers = [STAGED, &[("x-turnford-deadline-ms", timeout)]].concat();
+            let request = ClientRequest {
                 headers: &headers,
                 ..ClientRequest::new(attempt, "/chat/1")
             };
-            site.call(0, ask).expect("an answer")
+            site.call(0, request).expect("an answer")
         };
         assert_eq!(staged("before", "8000").status, 200);
         stage.request_backoff(Duration::from_secs(3));
         std::thread::scope(|scope| {
             let patient = scope.spawn(|| staged("patient", "8000").status);
-            wait_until("the target asks for rest", || {
+            wait_until("the target asks for backoff", || {
                 stage
                     .arrivals()
                     .iter()
                     .any(|call| call.backoff_until.is_some())
             });
-            // News of it is on its way to the node that admits.
+            // The update is on its way to the admitting node.
             std::thread::sleep(Duration::from_millis(50));
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let answer = staged("hasty", "1500");
             assert_eq!(answer.status, 503, "{}", text(&answer));
-            assert!(begun.elapsed() < AT_ONCE, "{:?}", begun.elapsed());
+            assert!(
+                started_at.elapsed() < IMMEDIATE,
+                "{:?}",
+                started_at.elapsed()
+            );
             assert_eq!(site.journal.runs_of("hasty"), []);
             assert_eq!(patient.join().expect("an end"), 200);
         });
-        assert_eq!(broken_rests(&stage), 0);
+        assert_eq!(backoff_violations(&stage), 0);
     }
 }
 
 #[test]
 fn urgent_first() {
-    // The more urgent one came last, and goes first.
+    // The more urgent request arrived last and goes first.
     let mut site = RouteSite::new();
     let slow = TargetRole::Plain(Duration::from_millis(100));
     let first = site.target("b1", "booking", slow);
@@ -284,11 +297,11 @@
         for (attempt, key) in [("later", "key-skagen"), ("urgent", "key-fyn")] {
             let site = &site;
             scope.spawn(move || {
-                let ask = ClientRequest {
+                let request = ClientRequest {
                     key: Some(key),
                     ..ClientRequest::new(attempt, "/hold/1")
                 };
-                assert_eq!(site.call(0, ask).expect("an answer").status, 200);
+                assert_eq!(site.call(0, request).expect("an answer").status, 200);
             });
             std::thread::sleep(Duration::from_millis(100));
         }
@@ -299,7 +312,7 @@
 
 #[test]
 fn other_node() {
-    // A rest is between one node and one target: the other node goes on.
+    // A backoff holds between one node and one target: the other node goes on.
     let mut site = RouteSite::new();
     let first = site.target("b1", "booking", QUICK);
     site.node("one");
@@ -312,24 +325,24 @@
 
 #[test]
 fn odd_words() {
-    // A time that makes no sense is no rest; the usual pause holds, and the target is used again soon.
+    // A malformed time is no backoff. The usual pause applies, and the target is soon used again.
     for odd in ["soon", "-3", "Fri, 04 Dec 2026 07:28:00 GMT", "inf"] {
         let mut site = RouteSite::new();
         let first = site.target("b1", "booking", QUICK);
         site.node("one");
         first.inject_faults([TargetFault::Backoff(odd)]);
         send(&site, 0, "told", "/hold/1");
-        let begun = Instant::now();
+        let started_at = Instant::now();
         wait_until("it is used again", || {
             send(&site, 0, "later", "/hold/1") == 200
         });
-        assert!(begun.elapsed() < Duration::from_secs(1), "{odd}");
+        assert!(started_at.elapsed() < Duration::from_secs(1), "{odd}");
     }
 }
 
 #[test]
 fn started_again() {
-    // A very long rest ends with the process that asked for it.
+    // A very long backoff ends with the process that asked for it.
     let mut site = RouteSite::new();
     let first = site.target("b1", "booking", QUICK);
     site.node("one");
--- a/packages/turnford-serve/tests/store_drill.rs
+++ b/packages/turnford-serve/tests/store_drill.rs
@@ -193,7 +193,7 @@
     site.store.restore(copy);
     for (name, hall) in [("three", "hal-b"), ("four", "hal-c"), ("five", "hal-d")] {
         // It gets requests once it says that it is ready.
-        site.node_apart(name, hall);
+        site.node_in_hall(name, hall);
         for node in 0..site.nodes.len() {
             assert_eq!(send(&site, node, "revoked"), 401, "at {node}");
         }
--- a/packages/turnford-serve/tests/truthful_ends.rs
+++ b/packages/turnford-serve/tests/truthful_ends.rs
@@ -1,4 +1,4 @@
-//! "Not run" is said only where nothing ran, and what may not be repeated runs once.
+//! "Not run" is reported only if nothing ran, and a request that must not be repeated runs once.
 
 mod common;
 
@@ -13,12 +13,12 @@
 use turnford_standin::EndpointState;
 use turnford_standin::TargetFault;
 
-/// Clients that ask at once.
+/// Number of concurrent clients.
 const CLIENTS: usize = 64;
 
 #[test]
 fn turned_away() {
-    // A target that did not run an unsafe call leaves it to another only within the route's limit.
+    // An unsafe call that a target refused goes to another target only within the route's limit.
     let mut site = RouteSite::new();
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
@@ -70,7 +70,7 @@
         let first = site.target("b1", "booking", QUICK);
         site.target("b2", "booking", QUICK);
         let node = site.node("one");
-        // Whichever is chosen first, one of the two answers.
+        // Whichever target is chosen first, one of the two responds.
         first.inject_faults([fault.clone()]);
         for attempt in ["a1", "a2"] {
             let path = format!("/pay/{attempt}");
@@ -87,7 +87,7 @@
 
 #[test]
 fn own_failure() {
-    // A target's own 500 to an unsafe call is passed on as it is.
+    // A target's own status 500 for an unsafe call is returned unchanged.
     let mut site = RouteSite::new();
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
@@ -124,28 +124,31 @@
 
 #[test]
 fn late_target() {
-    // A request that outlasts its client's time gets its final answer then. Its time is long enough
-    // for the call to be at the target before, also on a busy machine.
-    const TIME: Duration = Duration::from_secs(3);
+    // A request that exceeds its client's timeout gets its final response then. The timeout is long
+    // enough for the call to reach the target first, even on a busy machine.
+    const TIMEOUT: Duration = Duration::from_secs(3);
     let mut site = RouteSite::new();
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
     target.inject_faults([TargetFault::Slow(Duration::from_secs(15))]);
-    let mut ask = ClientRequest::new("a1", "/hold/1");
-    ask.headers = &[("x-turnford-deadline-ms", "3000")];
-    let begun = std::time::Instant::now();
-    let answer = site.call(node, ask).expect("an answer");
-    let took = begun.elapsed();
+    let mut request = ClientRequest::new("a1", "/hold/1");
+    request.headers = &[("x-turnford-deadline-ms", "3000")];
+    let started_at = std::time::Instant::now();
+    let answer = site.call(node, request).expect("an answer");
+    let took = started_at.elapsed();
     assert_eq!(site.journal.requests("a1").len(), 1);
     assert_eq!(answer.status, 504);
     assert!(text(&answer).contains(r#""ran":"unknown""#));
-    assert!(took < TIME + Duration::from_millis(1200), "after {took:?}");
+    assert!(
+        took < TIMEOUT + Duration::from_millis(1200),
+        "after {took:?}"
+    );
 }
 
 #[test]
 fn word_holds() {
-    // The client's time ends at any moment of a call's way to its target: what the answer says of it
-    // is what the target saw.
+    // The client's timeout ends at any point of a call's way to its target. The response must match
+    // what the target saw.
     let mut site = RouteSite::new();
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
@@ -155,19 +158,19 @@
         let attempt = format!("a{number}");
         let time = (1 + number / 3).to_string();
         let headers = [("x-turnford-deadline-ms", time.as_str())];
-        let ask = ClientRequest {
+        let request = ClientRequest {
             headers: &headers,
             ..ClientRequest::new(&attempt, "/hold/1")
         };
-        let answer = site.call(node, ask).expect("an answer");
+        let answer = site.call(node, request).expect("an answer");
         answers.push((attempt, answer.status));
     }
-    // What was sent has arrived by then.
+    // By then all calls that were sent have arrived.
     std::thread::sleep(Duration::from_secs(1));
     for (attempt, status) in answers {
         let runs = site.journal.requests(&attempt).len();
         match status {
-            503 => assert_eq!(runs, 0, "{attempt} was said not to have run"),
+            503 => assert_eq!(runs, 0, "{attempt} was reported as not run"),
             200 | 504 => assert!(runs <= 1, "{attempt} ran {runs} times"),
             _ => panic!("{attempt}: {status}"),
         }
@@ -176,11 +179,11 @@
 
 #[test]
 fn ready_serves() {
-    // Many clients ask while a node gets its configuration and targets: each is told that the node
-    // is not ready, or is served.
+    // Many clients send requests while a node receives its configuration and targets. Each one is
+    // told that the node is not ready, or is served.
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
-    let node = site.node_held("one");
+    let node = site.node_without_store("one");
     let door = site.nodes[node].door;
     let site = &site;
     std::thread::scope(|scope| {
--- a/packages/turnford-serve/tests/whole_path.rs
+++ b/packages/turnford-serve/tests/whole_path.rs
@@ -38,16 +38,16 @@
 
 #[test]
 fn account_header() {
-    // What a client says of its account counts for nothing.
+    // Headers in which a client names its account are ignored.
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
-    let mut ask = ClientRequest::new("a1", "/hold/1");
-    ask.headers = &[
+    let mut request = ClientRequest::new("a1", "/hold/1");
+    request.headers = &[
         ("x-turnford-tenant", "fyn"),
         ("x-turnford-expect-instance", "b9"),
     ];
-    assert_eq!(site.call(node, ask).expect("an answer").status, 200);
+    assert_eq!(site.call(node, request).expect("an answer").status, 200);
     assert_eq!(
         site.journal.runs_of("a1")[0].account.as_deref(),
         Some("skagen")
@@ -61,9 +61,9 @@
     site.target("e1", "ejer", STAGE);
     site.target("s1", "sprog", ENGINE);
     let node = site.node("one");
-    let mut ask = ClientRequest::new("a1", "/chat/");
-    ask.headers = STAGED;
-    let answer = site.call(node, ask).expect("an answer");
+    let mut request = ClientRequest::new("a1", "/chat/");
+    request.headers = STAGED;
+    let answer = site.call(node, request).expect("an answer");
     assert_eq!(answer.status, 200);
     let events = text(&answer);
     assert_eq!(events.matches("data: token").count(), 5, "{events}");
@@ -88,11 +88,11 @@
     site.target("e1", "ejer", STAGE);
     site.target("s1", "sprog", ENGINE);
     let node = site.node("one");
-    let mut ask = ClientRequest::new("a1", "/chat/");
-    ask.headers = STAGED;
-    assert_eq!(site.call(node, ask).expect("an answer").status, 200);
+    let mut request = ClientRequest::new("a1", "/chat/");
+    request.headers = STAGED;
+    assert_eq!(site.call(node, request).expect("an answer").status, 200);
     let is_release = |kind: &RunKind| matches!(kind, RunKind::Release(_));
-    common::wait_until("all five results are given up", || {
+    common::wait_until("all five results are released", || {
         let runs = site.journal.runs_of("a1");
         runs.iter().filter(|run| is_release(&run.kind)).count() == 5
     });
