--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -1,8 +1,8 @@
-//! Whether a request begins its stages.
+//! Admission of requests before their stages start.
 //!
-//! The node that places a service's requests admits them, too: it alone knows what all admitted
-//! requests still need of the stages. A node that gets no answer from it admits by the queues that it
-//! knows itself.
+//! The node that places a service's requests also admits them, since only this node knows how much
+//! work all admitted requests still have at the stages. If it does not answer, a node decides by
+//! the queues that it knows itself.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -28,11 +28,11 @@
 use crate::stages::min_duration;
 use crate::traffic::Traffic;
 
-/// An admitted request's stages; their end is told when this is dropped.
+/// Stages of an admitted request. Dropping this reports their end to the placer.
 pub(crate) struct AdmittedFlow {
-    /// Who admitted it, `None` where nobody counts it.
+    /// Node that admitted the request with its ticket there; `None` if no node tracks it.
     pub(crate) admitted: Option<(PlacerHandle, FlowTicket)>,
-    /// When each stage that is not done is expected to be; `None` for the others.
+    /// Expected end of each open stage; `None` for stages that are done.
     expected: RefCell<Vec<Option<Moment>>>,
 }
 
@@ -57,7 +57,7 @@
         self.expected.replace(ends.collect());
     }
 
-    /// Takes a new forecast of the stages that are not done.
+    /// Updates the expected ends of the open stages.
     pub(crate) fn expect(&self, now: Moment, forecast: &FlowForecast) {
         let mut expected = self.expected.borrow_mut();
         for (open, end) in expected.iter_mut().zip(&forecast.ends) {
@@ -67,18 +67,18 @@
         }
     }
 
-    /// Returns when the next stage is expected to be done, `None` if all are.
+    /// Returns the earliest expected end of an open stage, `None` if all stages are done.
     pub(crate) fn next_end(&self) -> Option<Moment> {
         self.expected.borrow().iter().flatten().min().copied()
     }
 
-    /// Tells whether a stage is not done.
+    /// Returns whether a stage is not done yet.
     pub(crate) fn is_open(&self, stage: usize) -> bool {
         let expected = self.expected.borrow();
         expected.get(stage).is_some_and(Option::is_some)
     }
 
-    /// Notes that a stage is done.
+    /// Records that a stage is done and reports it to the placer.
     pub(crate) fn record_stage_done(&self, stage: usize) {
         if let Some(expected) = self.expected.borrow_mut().get_mut(stage) {
             *expected = None;
@@ -98,11 +98,11 @@
     }
 }
 
-/// Admits a request if its stages will be done in time.
+/// Admits a request if its stages are forecast to end in time.
 ///
 /// # Errors
 ///
-/// Returns by how much they would be late, and when to come back.
+/// Returns how late the stages would be and when the client should retry.
 pub(crate) async fn admit_flow(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
@@ -118,7 +118,7 @@
         .first_event_deadline()
         .saturating_sub(now + record.final_call_time.get());
     let address = context.limits.placer();
-    let answer = match address {
+    let decision = match address {
         None => Some(admit_locally(traffic, context, &flow_request, send_within)),
         Some(placer) => {
             let request = WorkRequest::Admit(encode_admit_request(
@@ -134,8 +134,8 @@
             reply.and_then(decode_admit_reply)
         }
     };
-    let Some(answer) = answer else {
-        record.trace(format_args!("admitted here: the placer gave no answer"));
+    let Some(decision) = decision else {
+        record.trace(format_args!("admitted locally: no reply from the placer"));
         return admit_without_placer(traffic, record, flow_request.time_budget);
     };
     let placer = PlacerHandle {
@@ -143,7 +143,7 @@
         context: context.clone(),
         address,
     };
-    answer.map(|(ticket, forecast)| AdmittedFlow::new(now, Some((placer, ticket)), &forecast))
+    decision.map(|(ticket, forecast)| AdmittedFlow::new(now, Some((placer, ticket)), &forecast))
 }
 
 fn decode_admit_reply(reply: WorkReply) -> Option<Result<(FlowTicket, FlowForecast), FlowRefusal>> {
@@ -161,7 +161,7 @@
     }
 }
 
-/// Returns a forecast as another node told it.
+/// Decodes a forecast received from another node, in milliseconds.
 pub(crate) fn decode_forecast(ends: &[u32]) -> FlowForecast {
     let ends = ends.iter();
     FlowForecast {
@@ -171,7 +171,7 @@
     }
 }
 
-/// Admits by the queues that this node knows.
+/// Admits by the queues that this node knows itself; no node tracks the request then.
 fn admit_without_placer(
     traffic: &Traffic,
     record: &RequestRecord,
@@ -200,7 +200,11 @@
     context.flow.borrow_mut().admit(now, flow_request, rate_of)
 }
 
-/// Admits a request if the limits of its own targets leave a call for it in time.
+/// Checks that the rate limits of the service's own targets allow the final call in time.
+///
+/// # Errors
+///
+/// Returns how late the call would be and when the client should retry.
 fn check_limits(
     context: &ServiceContext,
     now: Moment,
@@ -226,8 +230,9 @@
     })
 }
 
-/// Returns the time in which a request's stages must be done. One that is late however short the
-/// queues are would be late again after a refusal, too, and is served within its deadline.
+/// Returns the time in which the stages of a request must be done. A request that would miss its
+/// latency objective even with empty queues would miss it again after a refusal, so it may use all
+/// the time until its deadline.
 fn stage_time_budget(traffic: &Traffic, record: &RequestRecord) -> Duration {
     let final_call = record.final_call_time.get();
     let now = traffic.shared.now();
@@ -287,7 +292,7 @@
     }
 }
 
-/// Answers a request to admit.
+/// Handles another node's request to admit.
 pub(crate) fn answer_admit(traffic: &Rc<Traffic>, admit_request: AdmitRequest) -> WorkReply {
     let Some(context) = traffic.service(&admit_request.service) else {
         return WorkReply::Refused;
@@ -313,7 +318,7 @@
     }
 }
 
-/// Answers a request for a forecast.
+/// Handles another node's request for a forecast.
 pub(crate) fn answer_forecast(
     traffic: &Rc<Traffic>,
     service: &str,
@@ -327,7 +332,7 @@
     WorkReply::Forecast(forecast.as_ref().map(encode_forecast))
 }
 
-/// Forecasts what is left of the stages of a request that this node admitted.
+/// Forecasts the open stages of a request that this node admitted.
 pub(crate) fn forecast_flow(
     traffic: &Traffic,
     context: &ServiceContext,
--- a/packages/turnford-serve/src/answer.rs
+++ b/packages/turnford-serve/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers towards clients.
+//! Responses to clients.
 
 use std::fmt;
 use std::pin::Pin;
@@ -24,23 +24,21 @@
 use turnford_adapter::refusal_headers;
 use turnford_policy::ResultCode;
 
-/// Why an answer is cut towards the client.
+/// Error that ends a response body before it is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BodyTruncated;
 
 impl fmt::Display for BodyTruncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("response body truncated")
     }
 }
 
 impl std::error::Error for BodyTruncated {}
 
-/// Body of an answer.
 pub(crate) enum ResponseBody {
-    /// The whole body.
     Full(Option<Bytes>),
-    /// A body that a task passes on as it comes. Dropping the body ends the task.
+    /// A body that a task relays chunk by chunk. Dropping the body cancels the task.
     Streamed {
         chunks: Pin<Box<Receiver<Result<Bytes, BodyTruncated>>>>,
         _task: Task<()>,
@@ -48,12 +46,12 @@
 }
 
 impl ResponseBody {
-    /// Makes a body of bytes that are all there.
+    /// Creates a body from bytes that are already complete.
     pub(crate) fn full(bytes: Bytes) -> Self {
         ResponseBody::Full(Some(bytes))
     }
 
-    /// Makes a body that a task writes into a channel.
+    /// Creates a body from the chunks that a task sends.
     pub(crate) fn streamed(chunks: Receiver<Result<Bytes, BodyTruncated>>, task: Task<()>) -> Self {
         ResponseBody::Streamed {
             chunks: Box::pin(chunks),
@@ -99,28 +97,28 @@
     }
 }
 
-/// Returns the answer of a target with a body for the client.
+/// Returns a target's response with the given body, its headers filtered for the client.
 pub(crate) fn proxied_response(parts: &Parts, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = parts.status;
     *response.headers_mut() = client_headers(parts);
     if matches!(response.body(), ResponseBody::Full(_)) {
-        // The library writes the length of the bytes that are really there.
+        // hyper writes the length of the actual bytes.
         response.headers_mut().remove(http::header::CONTENT_LENGTH);
     }
     response
 }
 
-/// Whether a refused or failed request ran, as the client is told.
+/// Whether a refused or failed request ran, as reported to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RanStatus {
-    /// Nothing ran, and nothing will.
+    /// Nothing ran, and nothing will run.
     No,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Returns an answer of the node's own.
+/// Returns a response that the node itself generates.
 pub(crate) fn error_response(
     attempt: &str,
     code: ResultCode,
--- a/packages/turnford-serve/src/availability.rs
+++ b/packages/turnford-serve/src/availability.rs
@@ -1,5 +1,5 @@
-//! Requests whose targets all want rest: those that can be served after it wait, the others are refused
-//! at once, with the time at which they can be.
+//! Requests of a service whose targets have all asked for backoff. Requests that can still be
+//! served in time wait; the others are refused at once with the time after which to retry.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,30 +16,31 @@
 use crate::traffic::Traffic;
 use crate::wait_queue::QueuePosition;
 
-/// Part of the time until a target takes calls over which those that are refused together come back.
+/// Spread of the retry times of requests that are refused together, as a ratio of the time until a
+/// target accepts calls.
 const RETRY_SPREAD: f64 = 0.25;
 
-/// Longest time to come back that is told: a longer rest may end early with its target's process, and
-/// other targets may be there by then.
+/// Upper bound of the suggested retry time. A longer backoff may end early when the target's
+/// process restarts, and other targets may be available by then.
 const RETRY_AFTER_CAP: Duration = Duration::from_secs(30);
 
-/// Longest pause between looks whether it is a request's turn, where no end of a rest is known.
+/// Longest interval between checks of a request's turn if no end of a backoff is known.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why a request does not wait for a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AvailabilityError {
-    /// No target is left that does not leave.
+    /// All targets that are left are leaving.
     NoTarget,
-    /// Its time is over before one takes it; when to come back.
+    /// The request's time ends before a target accepts it; contains the time to retry after.
     TooLate(Duration),
 }
 
-/// Tells whether a request can be served by the targets of a service, before anything is done for it.
+/// Checks before any work is done for a request that the targets of its service can serve it.
 ///
 /// # Errors
 ///
-/// Returns why it can't.
+/// Returns why they can't.
 pub(crate) fn check_availability(
     traffic: &Traffic,
     record: &RequestRecord,
@@ -54,12 +55,12 @@
     forecast_availability(traffic, record, context, &[], ahead).map(|_| ())
 }
 
-/// Waits until a target beside those tried takes the request. The place in the line is kept until the
-/// request is sent, so that the next one doesn't take the same room.
+/// Waits until a target that has not been tried accepts the request. The position in the queue is
+/// held until the request is sent, so that the next request doesn't take the same slot.
 ///
 /// # Errors
 ///
-/// Returns why it does not wait any longer.
+/// Returns why the request stops waiting.
 pub(crate) async fn wait_for_target(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
@@ -86,7 +87,7 @@
             is_traced = true;
             let span = available_at.saturating_sub(traffic.shared.now());
             record.trace(format_args!(
-                "all targets rest, {ahead} go before, the first opens in {}ms",
+                "all targets in backoff, {ahead} requests ahead, first target available in {}ms",
                 span.as_millis()
             ));
         }
@@ -103,7 +104,12 @@
     }
 }
 
-/// Returns when the first target takes calls, if a request with so many before it can be served then.
+/// Returns when the first target accepts calls.
+///
+/// # Errors
+///
+/// Fails if no target is left, or if a request with `ahead` others before it can't be served in
+/// time.
 fn forecast_availability(
     traffic: &Traffic,
     record: &RequestRecord,
@@ -127,15 +133,15 @@
     )))
 }
 
-/// Returns when clients should come back that no target took.
+/// Returns when clients whose requests no target accepted should retry.
 pub(crate) fn suggest_retry_after(traffic: &Traffic, context: &ServiceContext) -> Duration {
     let now = traffic.shared.now();
     let available_at = context.targets.borrow().opens_at(now, &[]);
     available_at.map_or(RETRY_AFTER, |at| spread_retry_after(traffic, at))
 }
 
-/// Returns when a client should come back for whom there is room at a moment. Those that are refused
-/// together come back one after the other.
+/// Returns when a client should retry if a slot is available at `at`. The times are spread so that
+/// requests that are refused together don't return together.
 fn spread_retry_after(traffic: &Traffic, at: Moment) -> Duration {
     let remaining = at.saturating_sub(traffic.shared.now()).min(RETRY_AFTER_CAP);
     let spread = remaining.mul_f64(RETRY_SPREAD * traffic.random());
--- a/packages/turnford-serve/src/backoff.rs
+++ b/packages/turnford-serve/src/backoff.rs
@@ -1,8 +1,10 @@
-//! Targets that turn a call away and ask for rest: they get nothing of this node until it is over.
+//! Targets that refuse a call and ask for backoff get no further calls from this node until it
+//! ends.
 //!
-//! A rest is between one node and one target. Who places for engines is told with each question which
-//! targets not to take. Targets of a stage get all their calls from the node that gathers, so nodes that
-//! admit requests are told of its rests, and count these targets as away.
+//! A backoff holds between one node and one target. The placer of engine requests is told with each
+//! request which targets to skip. Targets of a stage get all their calls from the batching node, so
+//! this node sends its backoffs to the nodes that admit requests, and these count such targets as
+//! unavailable.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,14 +21,13 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Part of a rest that a node adds at most: nodes that were told the same don't come back in the same
-/// moment.
+/// Jitter that a node adds at most, as a ratio of the backoff. Nodes that were told the same time
+/// don't return at the same moment.
 const BACKOFF_JITTER: f64 = 0.1;
 
-/// Longest time that a node adds.
 const MAX_BACKOFF_JITTER: Duration = Duration::from_millis(500);
 
-/// Notes that a target wants nothing of this node for so long.
+/// Records that a target refuses calls from this node for a time, and wakes waiting requests.
 pub(crate) fn apply_backoff(
     traffic: &Rc<Traffic>,
     context: &Rc<ServiceContext>,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Tells the nodes that admit requests to stages.
+/// Sends a backoff to the nodes that admit requests to stages.
 fn notify_admitters(traffic: &Rc<Traffic>, target: &TargetSpec, backoff: Duration) {
     let services = traffic.all_services();
     let admitting = services
@@ -66,7 +67,7 @@
     notify_peers(&traffic.peers, peers, &WorkRequest::Backoff(update));
 }
 
-/// Takes the news of a node that gathers.
+/// Handles a backoff reported by a batching node.
 pub(crate) fn answer_backoff(traffic: &Traffic, update: &BackoffUpdate) -> WorkReply {
     if let Some(context) = traffic.service(&update.service) {
         let now = traffic.shared.now();
--- a/packages/turnford-serve/src/batch.rs
+++ b/packages/turnford-serve/src/batch.rs
@@ -1,4 +1,4 @@
-//! Calls of pieces, and what they tell of their target.
+//! Calls that carry a batch of pieces, and what they reveal about their target.
 
 use std::time::Duration;
 
@@ -23,36 +23,38 @@
 use crate::metrics::ServiceEvent;
 use crate::pieces::PieceCell;
 
-/// Longest body of an answer, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Times its expected span after which the pieces of a call are offered to other targets, too.
+/// Multiple of its expected time after which the pieces of a call are offered to other targets as
+/// well.
 const HEDGE_FACTOR: f64 = 2.5;
 
-/// Time after its begin by which a call has fetched its inputs: a few megabytes over links of
-/// gigabits take some milliseconds.
+/// Time after which a call has fetched its inputs: a few megabytes take some milliseconds over
+/// gigabit links.
 const INPUT_FETCH_TIME: Duration = Duration::from_millis(60);
 
-/// Times its expected span by which a target's last calls tell that it begins calls at once.
+/// Slowness of a target's recent calls, as a multiple of the expected time, below which it is
+/// assumed to start calls at once.
 const UNCONTENDED_FACTOR: f64 = 1.25;
 
-/// Time after a lost call in which another may be lost: faults of targets last some seconds.
+/// Time after a lost call in which further calls may be lost: faults of targets last some seconds.
 const FAILURE_WINDOW: Duration = Duration::from_secs(4);
 
-/// Longest wait for a target's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Times its expected span after which a call's target is asked whether it is there. A slow target
-/// still answers that; one that is down or cut off does not, and its pieces go elsewhere.
+/// Multiple of its expected time after which a call's target is probed. A slow target still answers
+/// the probe; a target that is down or unreachable does not, and its pieces are sent elsewhere.
 const OVERDUE_FACTOR: f64 = 1.3;
 
-/// Longest wait for that answer, which a lost packet may delay.
+/// Timeout of a probe. It allows for a lost packet.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause between such questions while a call goes on.
+/// Interval between probes during a call.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Asks a target for its room, and takes what this node does not know of as taken by others.
+/// Fetches a target's report of its free space. Space that is not free and that this node did not
+/// use counts as used by others.
 pub(crate) async fn fetch_report(cell: PieceCell, target: TargetSpec) {
     let report = read_report(&cell, &target, REPORT_TIMEOUT).await;
     let now = cell.traffic.shared.now();
@@ -62,7 +64,7 @@
             scheduler.record_report(now, &target.id, report.max_free_bytes);
         }
         Err(reason) => {
-            log::info!("target={} gave no report: {reason}", target.id);
+            log::info!("target={} report not available: {reason}", target.id);
             let mut scheduler = cell.queue.scheduler.borrow_mut();
             scheduler.record_report_failure(now, &target.id);
         }
@@ -92,13 +94,13 @@
     };
     let late = async {
         Timer::after(timeout).await;
-        Err(CallError::Unknown("no whole report in time"))
+        Err(CallError::Unknown("the report timed out"))
     };
     let (_, body) = read.or(late).await.map_err(|error| format!("{error:?}"))?;
     decode_report(&body).map_err(|problem| problem.to_string())
 }
 
-/// Makes one call and looks what can be done next.
+/// Makes one call and dispatches what can be sent after it.
 pub(crate) async fn run_batch(cell: PieceCell, plan: BatchPlan) {
     let id = plan.target.clone();
     let reserved = plan.result_bytes();
@@ -106,7 +108,7 @@
     let results = match target {
         Some(target) => run_call(&cell, &target, plan).await,
         None => {
-            cell.requeue_pieces(plan, "the target is gone", false);
+            cell.requeue_pieces(plan, "the target is no longer listed", false);
             Vec::new()
         }
     };
@@ -120,7 +122,7 @@
     cell.dispatch();
 }
 
-/// Makes a call; returns the results that its target keeps, with their sizes.
+/// Makes a call. Returns the handles and sizes, in bytes, of the results that the target stores.
 async fn run_call(cell: &PieceCell, target: &TargetSpec, plan: BatchPlan) -> Vec<(String, u64)> {
     let traffic = &cell.traffic;
     let started_at = traffic.shared.now();
@@ -142,7 +144,7 @@
             Duration::ZERO
         };
         monitor_call(cell, target, &plan, expected, elapsed_wait).await;
-        Err(CallError::Disconnected("the target is silent"))
+        Err(CallError::Disconnected("the target did not answer a probe"))
     };
     let ended = call.or(meanwhile);
     match ended.await {
@@ -164,7 +166,7 @@
         }
         Err(error) => {
             if matches!(error, CallError::Disconnected(_)) {
-                // Before its pieces go to another target, it has to be known whether they crash it.
+                // Its pieces may only go to another target once it is known whether they crash it.
                 check_broken_pieces(traffic, &cell.context, target, &plan).await;
             }
             handle_error(cell, target, plan, &error);
@@ -173,9 +175,9 @@
     }
 }
 
-/// Tells whether a target begins a call at once and will end it: its last calls took the time that
-/// they should, so nobody else uses it, and no call of its cell was lost lately. The inputs of a call
-/// that is lost are needed again.
+/// Returns whether a target is expected to start a call at once and to complete it: its recent
+/// calls took no longer than expected, so no other node uses it, and no call of its cell was lost
+/// recently. The inputs of a lost call are needed again.
 fn is_uncontended(cell: &PieceCell, target: &TargetSpec) -> bool {
     let now = cell.traffic.shared.now();
     let last_failure_at = cell.queue.last_failure_at.get();
@@ -187,7 +189,7 @@
     slowness.is_some_and(|slowness| slowness < UNCONTENDED_FACTOR)
 }
 
-/// Watches a call that takes longer than it should; ends when its target is silent.
+/// Monitors a call that takes longer than expected. Returns when its target is unresponsive.
 async fn monitor_call(
     cell: &PieceCell,
     target: &TargetSpec,
@@ -207,36 +209,39 @@
     }
 }
 
-/// Asks a target whether it is there.
+/// Probes a target by requesting its report.
 async fn is_unresponsive(cell: &PieceCell, target: &TargetSpec) -> bool {
     let now = cell.traffic.shared.now();
     let backoff_until = cell.context.targets.borrow().backoff_until(now, &target.id);
     let limit_state = cell.context.limits.table.borrow().state(&target.id);
     if backoff_until.is_some() || limit_state.needs_permit() {
-        // It wants no question either; the call goes on.
+        // The target accepts no probes either; the call goes on.
         return false;
     }
     let report = read_report(cell, target, PROBE_TIMEOUT).await;
     if let Err(reason) = &report {
-        log::info!("target={} is overdue and silent: {reason}", target.id);
-        // Before it gets another call, it must answer.
+        log::info!(
+            "target={} call is overdue and the probe failed: {reason}",
+            target.id
+        );
+        // The target must answer before it gets another call.
         let mut scheduler = cell.queue.scheduler.borrow_mut();
         scheduler.invalidate_report(&target.id);
     }
     report.is_err()
 }
 
-/// Offers the pieces of a call that takes too long to other targets; the first result counts.
+/// Offers the pieces of an overdue call to other targets as well; the first result counts.
 fn hedge_pieces(cell: &PieceCell, target: &TargetSpec, plan: &BatchPlan, expected: Duration) {
     log::info!(
-        "target={} pieces={} late, offered to others",
+        "target={} pieces={} overdue, offered to other targets",
         target.id,
         plan.pieces.len()
     );
     record_speed(cell, target, expected.mul_f64(HEDGE_FACTOR), expected);
     let now = cell.traffic.shared.now();
     if cell.queue.scheduler.borrow().queue_len() > 0 {
-        // The others have enough to do; making these twice would only make them later.
+        // Other targets have enough queued work; running these pieces twice would only delay it.
         return;
     }
     for (ticket, work) in &plan.pieces {
@@ -249,7 +254,7 @@
     cell.dispatch();
 }
 
-/// Notes how a call's time was against what the configuration says.
+/// Records a call's time relative to the time expected from the configuration.
 fn record_speed(cell: &PieceCell, target: &TargetSpec, elapsed: Duration, expected: Duration) {
     let now = cell.traffic.shared.now();
     let sample = elapsed.as_secs_f64() / expected.as_secs_f64().max(0.001);
@@ -277,18 +282,18 @@
         CallError::Limited => {
             let metrics = &traffic.shared.metrics;
             metrics.record_service_event(&target.service, ServiceEvent::Limited);
-            cell.requeue_pieces(plan, "the target's limit is used up", false);
+            cell.requeue_pieces(plan, "the target's rate limit is used up", false);
         }
         CallError::NotRun(status) => {
-            log::debug!("target={} turned {count} pieces away: {status}", target.id);
+            log::debug!("target={} refused {count} pieces: {status}", target.id);
             cell.queue
                 .scheduler
                 .borrow_mut()
                 .record_refusal(now, &target.id);
-            cell.requeue_pieces(plan, "the target turned it away", false);
+            cell.requeue_pieces(plan, "the target refused it", false);
         }
         CallError::Disconnected(reason) | CallError::Unknown(reason) => {
-            log::info!("target={} pieces={count} no result: {reason}", target.id);
+            log::info!("target={} pieces={count} call failed: {reason}", target.id);
             let metrics = &traffic.shared.metrics;
             metrics.record_service_event(&target.service, ServiceEvent::CallFailed);
             let mut table = cell.context.targets.borrow_mut();
@@ -301,7 +306,7 @@
     }
 }
 
-/// Returns the time until the last piece of a call is no longer wanted.
+/// Returns the time until the latest deadline of a call's pieces.
 fn remaining_time(plan: &BatchPlan, now: Moment) -> Duration {
     let deadlines = plan.pieces.iter().map(|(_, work)| work.deadline);
     let last = deadlines.max().unwrap_or(now);
@@ -326,8 +331,11 @@
     let items: Vec<PieceItem<'_>> = items.collect();
     let host = target.address.to_string();
     let request = encode_pieces(&host, &target.id, &items).map_err(|problem| {
-        log::error!("target={} call of pieces: {problem}", target.id);
-        CallError::NotSent("the call can't be written down")
+        log::error!(
+            "target={} cannot encode a call of pieces: {problem}",
+            target.id
+        );
+        CallError::NotSent("the call can't be encoded")
     })?;
     let exchange = async {
         let purpose = CallPurpose::Pieces;
@@ -344,14 +352,14 @@
     };
     let late = async {
         Timer::after(timeout).await;
-        Err(CallError::Unknown("no whole answer in time"))
+        Err(CallError::Unknown("the response timed out"))
     };
     let (parts, body) = exchange.or(late).await?;
     if !parts.status.is_success() {
-        return Err(CallError::Unknown("the target failed at the call"));
+        return Err(CallError::Unknown("the target returned an error status"));
     }
     decode_pieces(&body, items.len()).map_err(|problem| {
-        log::warn!("target={} answer refused: {problem}", target.id);
-        CallError::Unknown("the answer makes no sense")
+        log::warn!("target={} invalid response: {problem}", target.id);
+        CallError::Unknown("the response body is invalid")
     })
 }
--- a/packages/turnford-serve/src/batching.rs
+++ b/packages/turnford-serve/src/batching.rs
@@ -1,7 +1,8 @@
-//! The pieces of a cell go to the node that gathers for it.
+//! Hands the pieces of a cell to the node that batches them.
 //!
-//! Nothing depends on all nodes agreeing on that node: two that gather for one cell only fill their
-//! calls less well, and pieces that a node gives no answer to go to the next one, in the end to this.
+//! Nodes don't need to agree on this node. If two nodes batch for one cell, their calls are merely
+//! filled less well. Pieces that a node does not answer go to the next node, and finally to this
+//! one.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,27 +33,27 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Nodes that the pieces of one stage are offered to before this node gathers them itself.
+/// Number of other nodes that the pieces of one stage are offered to before this node batches them
+/// itself.
 const MAX_PEER_ATTEMPTS: usize = 2;
 
-/// Longest wait for a node to note a release.
+/// Timeout for a node to acknowledge a release.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A cell of a service by its number.
+/// Refers to a cell of a service by its index.
 #[derive(Clone)]
 pub(crate) struct CellRef {
     pub(crate) context: Rc<ServiceContext>,
     pub(crate) index: usize,
 }
 
-/// How the pieces of a stage ended.
 pub(crate) struct PiecesResult {
     pub(crate) outcomes: Vec<PieceOutcome>,
-    /// Whether the results that only they needed were given up.
+    /// Whether the results in `last_use` were released.
     pub(crate) inputs_released: bool,
 }
 
-/// Runs pieces of one stage of one request, at the node that gathers for their cell. `last_use` are
+/// Runs pieces of one stage of one request at the node that batches for their cell. `last_use` are
 /// the results that only these pieces need.
 pub(crate) async fn run_pieces(
     traffic: &Rc<Traffic>,
@@ -103,7 +104,7 @@
     }
 }
 
-/// Hands pieces to another node; `None` if it gave no answer.
+/// Hands pieces to another node. Returns `None` if it does not answer.
 async fn run_at_peer(
     traffic: &Rc<Traffic>,
     cell_ref: &CellRef,
@@ -148,19 +149,19 @@
             })
         }
         Some(Ok(_)) => {
-            log::info!("node at {peer} takes no pieces");
+            log::info!("node at {peer} refused pieces");
             traffic.peers.mark_refusing(&peer_state);
             None
         }
         Some(Err(PeerError::Timeout)) => {
-            // The request's time is over, which says nothing of the node.
+            // The request ran out of time, which says nothing about the node.
             Some(PiecesResult {
-                outcomes: vec![PieceOutcome::Failed("its time was over"); works.len()],
+                outcomes: vec![PieceOutcome::Failed("the deadline passed"); works.len()],
                 inputs_released: false,
             })
         }
         Some(Err(error)) => {
-            log::info!("node at {peer} lost pieces: {error}");
+            log::info!("node at {peer} failed to run pieces: {error}");
             traffic.peers.mark_down(&peer_state);
             None
         }
@@ -175,8 +176,8 @@
 ) -> Option<PieceRequest> {
     let first = works.first()?;
     let millis = |until: Moment| {
-        let left = until.saturating_sub(now).as_millis();
-        u64::try_from(left).unwrap_or(u64::MAX)
+        let remaining = until.saturating_sub(now).as_millis();
+        u64::try_from(remaining).unwrap_or(u64::MAX)
     };
     Some(PieceRequest {
         service: cell_ref.context.spec.borrow().name.to_string(),
@@ -197,7 +198,7 @@
     })
 }
 
-/// Returns results as another node can give them up.
+/// Encodes results so that another node can release them.
 fn input_entries(traffic: &Traffic, results: &[PieceResult]) -> Vec<InputEntry> {
     let own = traffic.shared.settings.work;
     let entries = results.iter().map(|result| InputEntry {
@@ -209,8 +210,8 @@
     entries.collect()
 }
 
-/// Returns the results that another node's pieces need for the last time, those whose targets are
-/// known here.
+/// Decodes the results that another node's pieces need last. Results whose targets are unknown to
+/// this node are left out.
 fn decode_inputs(traffic: &Traffic, entries: &[InputEntry]) -> Vec<PieceResult> {
     let own = traffic.shared.settings.work;
     let known = entries.iter().filter_map(|entry| {
@@ -229,7 +230,8 @@
 fn decode_outcome(cell_ref: &CellRef, peer: SocketAddr, result: PieceReplyItem) -> PieceOutcome {
     match result {
         PieceReplyItem::Completed { handle, target } => {
-            // A target that left the list meanwhile keeps its result; the input's fetch will tell.
+            // A target that has left the list meanwhile still has its result; fetching the input
+            // will tell.
             let producer = cell_ref.context.targets.borrow().get(&target).cloned();
             match producer {
                 Some(producer) => PieceOutcome::Completed(PieceResult {
@@ -237,16 +239,18 @@
                     producer,
                     gatherer: Some(peer),
                 }),
-                None => PieceOutcome::Failed("its target is gone"),
+                None => {
+                    PieceOutcome::Failed("the target that holds the result is no longer listed")
+                }
             }
         }
         PieceReplyItem::InputMissing => PieceOutcome::InputMissing,
-        PieceReplyItem::Failed => PieceOutcome::Failed("the gathering node got no result"),
+        PieceReplyItem::Failed => PieceOutcome::Failed("the batching node got no result"),
         PieceReplyItem::NotScheduled => PieceOutcome::NotScheduled,
     }
 }
 
-/// Gives results up at the node that gathered them; true if it noted it.
+/// Releases results at the node that batched their pieces. Returns whether it acknowledged.
 pub(crate) async fn release_at_peer(
     traffic: &Traffic,
     peer: SocketAddr,
@@ -267,7 +271,7 @@
     reply == Some(WorkReply::Ack)
 }
 
-/// Answers pieces that another node hands over.
+/// Handles pieces that another node hands over.
 pub(crate) async fn answer_pieces(traffic: &Rc<Traffic>, piece_request: PieceRequest) -> WorkReply {
     let Some(context) = traffic.service(&piece_request.service) else {
         return WorkReply::Refused;
@@ -284,7 +288,7 @@
         .borrow_mut()
         .record_first_attempts(now, works.len());
     let inputs = decode_inputs(traffic, &piece_request.last_use);
-    // What is not known here is given up by the node that asks.
+    // Results that are unknown here are released by the requesting node.
     let knows_all = inputs.len() == piece_request.last_use.len();
     let result = run_locally(traffic, &cell_ref, works, inputs).await;
     let released = result.inputs_released && knows_all;
@@ -304,7 +308,7 @@
     }
 }
 
-/// Returns the milliseconds that new pieces would wait at this node, by account rank.
+/// Returns the expected wait of new pieces at this node in milliseconds, by account rank.
 fn encode_waits(traffic: &Traffic, cell_ref: &CellRef) -> Vec<u32> {
     let now = traffic.shared.now();
     let waits = cell_ref.context.local_waits(now, cell_ref.index);
@@ -314,7 +318,7 @@
         .collect()
 }
 
-/// Returns the time that a new piece of an account rank would wait for its call, as far as known.
+/// Returns the expected wait of a new piece of an account rank, as far as this node knows.
 pub(crate) fn expected_wait(traffic: &Traffic, cell_ref: &CellRef, rank: u8) -> Duration {
     let now = traffic.shared.now();
     let service = cell_ref.context.spec.borrow().name.to_string();
@@ -349,7 +353,7 @@
     works.collect()
 }
 
-/// Answers a release by another node.
+/// Handles a release by another node.
 pub(crate) fn answer_release(traffic: &Rc<Traffic>, service: &str, results: Vec<(String, String)>) {
     let Some(context) = traffic.service(service) else {
         return;
--- a/packages/turnford-serve/src/call.rs
+++ b/packages/turnford-serve/src/call.rs
@@ -27,47 +27,48 @@
 use crate::traffic::Traffic;
 use crate::wait::wait_until;
 
-/// Longest time to open a connection to a target. One lost opening packet is sent again after a
-/// second, and another target is faster than that.
+/// Timeout for opening a connection to a target. A lost SYN packet is retransmitted only after a
+/// second, and trying another target is faster than that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Rest that a target is trusted with where it does not say when it closes a connection.
+/// Time for which an idle connection is reused if the target announces no keep-alive timeout.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(700);
 
-/// Part of the rest that a target says, so that a request does not cross its close.
+/// Ratio of the announced keep-alive timeout for which a connection is reused, so that a request
+/// does not cross the target's close.
 const KEEP_ALIVE_RATIO: f64 = 0.6;
 
-/// Longest refusal that is read to its end so that the connection can be used again, in bytes.
+/// Maximum size of a refusal body, in bytes, that is read so that the connection can be reused.
 const MAX_REFUSAL_BYTES: usize = 16 * 1024;
 
-/// Longest time for the body of a refusal.
+/// Timeout for reading the body of a refusal.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why a call gave no answer.
+/// Why a call got no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// No byte was handed over.
+    /// No byte was sent.
     NotSent(&'static str),
-    /// The same, since the target wants no such call of this node now.
+    /// No byte was sent, because the target accepts no such call from this node at present.
     Unavailable(&'static str),
-    /// The same, since the target's limit for all nodes lets no further call through.
+    /// No byte was sent, because the target's rate limit across all nodes allows no further call.
     Limited,
-    /// The target says that it did not run the request.
+    /// The target reports that it did not run the request.
     NotRun(StatusCode),
-    /// The request was handed over, and its connection ended or its target fell silent.
+    /// The request was sent, and the connection closed or the target stopped responding.
     Disconnected(&'static str),
-    /// The request was handed over, and what became of it is not known.
+    /// The request was sent, and its outcome is not known.
     Unknown(&'static str),
 }
 
-/// What a call is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallPurpose<'a> {
-    /// A client's request, with the id of its try, which the answer must carry.
+    /// A client's request with its attempt id, which the response must carry.
     Request(&'a str),
     /// Pieces of stages.
     Pieces,
-    /// What goes on with work that the target has, or asks how it is: no new work.
+    /// A call that serves work which the target already has, or that queries its state. It adds no
+    /// new work.
     Maintenance,
 }
 
@@ -80,11 +81,11 @@
     }
 }
 
-/// A target's answer whose body is still to come.
+/// A target's response whose body has not been read yet.
 pub(crate) struct TargetResponse {
     pub(crate) parts: Parts,
     pub(crate) attributes: ResponseAttributes,
-    /// Whether it says that its target leaves.
+    /// Whether the response announces that the target is leaving.
     pub(crate) is_leaving: bool,
     pub(crate) body: Incoming,
     connection: HttpConnection,
@@ -92,19 +93,19 @@
 }
 
 impl TargetResponse {
-    /// Reads the whole body and lays the connection down for reuse.
+    /// Reads the whole body and returns the connection to the pool.
     pub(crate) async fn collect(
         self,
         traffic: &Traffic,
         limit: usize,
     ) -> Result<(Parts, Bytes), CallError> {
         let body = Limited::new(self.body, limit).collect().await;
-        let body = body.map_err(|_| CallError::Disconnected("the answer broke off"))?;
+        let body = body.map_err(|_| CallError::Disconnected("the response body was truncated"))?;
         recycle_connection(traffic, self.connection, &self.attributes);
         Ok((self.parts, body.to_bytes()))
     }
 
-    /// Takes the answer apart for a body that is passed on as it comes.
+    /// Splits the response for a body that is relayed as it arrives.
     pub(crate) fn into_stream(self) -> (Parts, Incoming, StreamRemainder) {
         let remainder = StreamRemainder {
             connection: self.connection,
@@ -115,7 +116,7 @@
     }
 }
 
-/// What has to be done after the body of a stream ended.
+/// What is needed to recycle the connection after the body of a stream has ended.
 pub(crate) struct StreamRemainder {
     connection: HttpConnection,
     attributes: ResponseAttributes,
@@ -123,13 +124,13 @@
 }
 
 impl StreamRemainder {
-    /// Lays the connection down for reuse.
+    /// Returns the connection to the pool.
     pub(crate) fn finish(self, traffic: &Traffic) {
         recycle_connection(traffic, self.connection, &self.attributes);
     }
 }
 
-/// Lays a connection down until its target may close it.
+/// Returns a connection to the pool until its target may close it.
 fn recycle_connection(
     traffic: &Traffic,
     connection: HttpConnection,
@@ -147,7 +148,7 @@
     traffic.pool.borrow_mut().put(now, connection, keep_alive);
 }
 
-/// Sends a request to a target and waits for the head of its answer.
+/// Sends a request to a target and waits for the head of its response.
 pub(crate) async fn call_target(
     traffic: &Rc<Traffic>,
     context: &Rc<ServiceContext>,
@@ -159,7 +160,7 @@
     let attempt = purpose.attempt();
     let in_flight = InFlightGuard::new(context, target);
     let mut connection = open_connection(traffic, context, target).await?;
-    // The last moment before it is sent: it may have waited, and another node may have chosen its place.
+    // Checked last before sending: the call may have waited, and another node may have placed it.
     let now = traffic.shared.now();
     if let Some(error) = context.rejection_reason(now, &target.id, purpose) {
         return Err(error);
@@ -177,16 +178,18 @@
     let response = match sent.or(late).await {
         Some(Ok(response)) => response,
         Some(Err(HttpError::NotConnected)) => {
-            return Err(CallError::NotSent("the connection was closed"))
+            return Err(CallError::NotSent(
+                "the connection was closed before the request was sent",
+            ))
         }
-        Some(Err(_)) => return Err(CallError::Disconnected("the connection broke")),
-        None => return Err(CallError::Unknown("no answer in time")),
+        Some(Err(_)) => return Err(CallError::Disconnected("the connection was lost")),
+        None => return Err(CallError::Unknown("the response timed out")),
     };
     let (parts, body) = response.into_parts();
     let signal = process_signals(traffic, context, target, &parts, attempt, now);
     let attributes = decode_response(&parts).map_err(|problem| {
-        log::warn!("target={} answer refused: {problem}", target.id);
-        CallError::Unknown("the answer's head makes no sense")
+        log::warn!("target={} invalid response: {problem}", target.id);
+        CallError::Unknown("the response head is invalid")
     })?;
     if let Some(sample) = attributes.load {
         let now = traffic.shared.now();
@@ -198,7 +201,7 @@
     }
     let is_complete = attempt.is_none() || (attributes.is_signed && !attributes.is_encoded);
     if parts.status.is_success() && !is_complete {
-        return Err(CallError::Unknown("the answer is not the target's own"));
+        return Err(CallError::Unknown("the response is unsigned or encoded"));
     }
     if attributes.not_run {
         drain_refusal(traffic, connection, &attributes, body).await;
@@ -218,14 +221,14 @@
     })
 }
 
-/// Notes an answer that belongs to another request; its connection is spoiled.
+/// Records a response that belongs to another request. Its connection is not reused.
 fn attempt_mismatch(
     traffic: &Traffic,
     target: &TargetSpec,
     attributes: &ResponseAttributes,
 ) -> CallError {
     log::warn!(
-        "target={} dropped an answer for request={}",
+        "target={} discarded a response for request={}",
         target.id,
         attributes.attempt.as_deref().unwrap_or("-")
     );
@@ -233,10 +236,10 @@
         .shared
         .metrics
         .record_service_event(&target.service, ServiceEvent::AttemptMismatch);
-    CallError::Unknown("the answer belongs to another request")
+    CallError::Unknown("the response belongs to another request")
 }
 
-/// Returns a connection to a target, one at rest where there is one.
+/// Returns a connection to a target, an idle one if there is any.
 async fn open_connection(
     traffic: &Traffic,
     context: &Rc<ServiceContext>,
@@ -255,11 +258,11 @@
     opened.map_err(|_| {
         let now = traffic.shared.now();
         context.targets.borrow_mut().record_refusal(now, &target.id);
-        CallError::NotSent("no connection to the target")
+        CallError::NotSent("no connection to the target could be opened")
     })
 }
 
-/// Reads the rest of a refusal, so that its connection can be used again.
+/// Reads the rest of a refusal so that its connection can be reused.
 async fn drain_refusal(
     traffic: &Traffic,
     connection: HttpConnection,
--- a/packages/turnford-serve/src/feasibility.rs
+++ b/packages/turnford-serve/src/feasibility.rs
@@ -1,9 +1,9 @@
-//! Whether a request whose stages run can still be served.
+//! Whether a request can still be served while its stages run.
 //!
-//! A request is admitted with a forecast of each stage's end. Where a stage is not done by then,
-//! something that the forecast depended on has changed: a target is lost, more urgent requests have
-//! come, a result was gone. The forecast is renewed, and a request that can't be served within its
-//! deadline is refused then, instead of being held until its time is over.
+//! A request is admitted with a forecast of each stage's end. If a stage is not done by then,
+//! something that the forecast depended on has changed: a target was lost, more urgent requests
+//! arrived, or a result is missing. The forecast is refreshed, and a request that can't be served
+//! within its deadline is refused then instead of being held until its deadline.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,12 +27,12 @@
 use crate::stages::StageError;
 use crate::traffic::Traffic;
 
-/// Time by which a stage may outlast its forecast before that is renewed: news of what others did is
-/// gathered on its way to the node that forecasts.
+/// Time by which a stage may exceed its forecast before the forecast is refreshed. Updates are
+/// batched on their way to the forecasting node.
 const FORECAST_SLACK: Duration = Duration::from_millis(100);
 
-/// Waits until a request can't be served any more before its client or this node leaves, and tells
-/// when to come back.
+/// Waits until a request can no longer be served before its client gives up or this node stops.
+/// Returns when the client should retry.
 pub(crate) async fn watch_feasibility(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
@@ -46,7 +46,9 @@
         let end = now + forecast.end() + final_call;
         if end > record.first_event_deadline() {
             let remaining = forecast.end().as_millis();
-            record.trace(format_args!("stages would take {remaining}ms more"));
+            record.trace(format_args!(
+                "stages are forecast to take {remaining}ms more"
+            ));
             let is_past_shutdown = traffic
                 .shared
                 .exit_deadline()
@@ -54,7 +56,7 @@
             let retry_after = if is_past_shutdown {
                 REDIRECT_RETRY_AFTER
             } else {
-                // Those that are refused together do not come back together.
+                // The retry times of requests that are refused together are spread.
                 let slack = record.route.latency_objective.saturating_sub(final_call);
                 let spread = 1.0 + traffic.random();
                 let delay = forecast.end().saturating_sub(slack).mul_f64(spread);
@@ -66,11 +68,11 @@
     }
 }
 
-/// Waits until a stage is not done though it was expected to be.
+/// Waits until a stage exceeds its forecast.
 async fn wait_overdue(traffic: &Traffic, flow: &AdmittedFlow) {
     loop {
         let Some(end) = flow.next_end() else {
-            // All stages are done; their request goes on.
+            // All stages are done, and the request goes on.
             return std::future::pending().await;
         };
         let now = traffic.shared.now();
@@ -81,8 +83,8 @@
     }
 }
 
-/// Forecasts the stages that are not done, by the node that admitted the request or, where it gives no
-/// answer, by what this one knows.
+/// Forecasts the open stages at the node that admitted the request. If it does not answer, this
+/// node forecasts by what it knows.
 async fn refresh_forecast(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
--- a/packages/turnford-serve/src/forward.rs
+++ b/packages/turnford-serve/src/forward.rs
@@ -1,4 +1,4 @@
-//! The request's own call: to one target, and to another where that is allowed.
+//! The final call of a request: to one target, and to further ones where the route allows it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -44,25 +44,26 @@
 use crate::traffic::Traffic;
 use crate::wait_queue::QueuePosition;
 
-/// Largest answer that is held to its end before the client gets it, in bytes. Nothing else bounds
-/// answers.
+/// Maximum size of a response that is buffered before it is sent to the client, in bytes. Nothing
+/// else bounds responses.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Most targets that a request looks at without reaching one: more than are down together in
-/// ordinary times.
+/// Maximum number of targets that a request tries without reaching one. Fewer than this are
+/// normally down together.
 const MAX_UNREACHED: usize = 8;
 
-/// Times that a request asks again for a call of a target whose limit was used up when it was to be sent.
+/// Number of times that a request returns to a target whose rate limit was used up when it was to
+/// be sent.
 const MAX_LIMITED_RETRIES: usize = 3;
 
-/// Time after which a target has fetched the inputs of a request that it was sent: it does so before
-/// it reads the prompt.
+/// Time after which a target has fetched the inputs of a request: it does so before it reads the
+/// prompt.
 const INPUT_FETCH_TIME: Duration = Duration::from_millis(80);
 
-/// Time to come back after a refusal by which a failed target has been replaced or has recovered.
+/// Time to retry after a refusal. By then a failed target has been replaced or has recovered.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A request with what its stages gave.
+/// A request with the results of its stages.
 pub(crate) struct ForwardJob<'a> {
     pub(crate) record: &'a Rc<RequestRecord>,
     pub(crate) context: &'a Rc<ServiceContext>,
@@ -71,31 +72,29 @@
     pub(crate) results: &'a StageResults,
 }
 
-/// How the call ended.
 pub(crate) enum ForwardOutcome {
-    /// The client's answer.
+    /// The client's response.
     Response(Response<ResponseBody>),
-    /// A result of the stages was gone; nothing ran.
+    /// A result of the stages was missing; nothing ran.
     InputMissing,
 }
 
-/// What is known of the tries so far.
+/// State of the attempts so far.
 struct AttemptLog {
-    /// Targets that were tried.
     tried: Vec<TargetId>,
-    /// Requests handed over to a target.
+    /// Number of requests sent to a target.
     sent: u32,
-    /// Whether one of them may have run.
+    /// Whether any of them may have run.
     may_have_run: bool,
-    /// Targets that were not reached.
+    /// Number of targets that were not reached.
     unreached: usize,
-    /// Targets whose limits let the request through no more when it was to be sent.
+    /// Number of times that a target's rate limit was used up when the request was to be sent.
     limited: usize,
-    /// An answer that says that the target failed, kept in case nothing better comes.
+    /// A target's error response, returned if no better one follows.
     failed: Option<Response<ResponseBody>>,
 }
 
-/// Calls targets until one answers or no further one may be called.
+/// Calls targets until one responds or no further attempt is allowed.
 pub(crate) async fn forward(traffic: &Rc<Traffic>, job: &ForwardJob<'_>) -> ForwardOutcome {
     let mut log = AttemptLog {
         tried: Vec::new(),
@@ -112,7 +111,8 @@
         let options = PlacementOptions {
             inputs: &job.results.halls,
             tried: &log.tried,
-            // Where a target failed at it, its answer is not held back for another's rest.
+            // Once a target has failed the request, the error response is not delayed by another
+            // target's backoff.
             may_wait: !log.may_have_run,
         };
         let placed = place_request(traffic, job.record, job.context, &options).await;
@@ -140,7 +140,8 @@
         if log.sent > 0 && !try_take_retry(traffic, job, &target) {
             break;
         }
-        // From its first step on the call counts at its target; then the next that waits may look.
+        // The call counts as in flight from its first poll. Only then may the next waiting request
+        // check for a slot.
         let call = try_target(traffic, job, &target, placed.position.take());
         match call.await {
             Ok(response) => {
@@ -162,7 +163,7 @@
                     return end;
                 }
                 if matches!(error, CallError::Disconnected(_)) {
-                    // An engine that begins to run a request sends the head of its answer.
+                    // An engine sends the head of its response when it starts to run a request.
                     let has_started = job.context.spec.borrow().engine.is_none();
                     check_crash(traffic, job, &log, *placed, has_started).await;
                 }
@@ -181,7 +182,7 @@
         && log.unreached < MAX_UNREACHED
 }
 
-/// Takes a repeat from the service's allowance.
+/// Takes a retry from the service's allowance.
 fn try_take_retry(traffic: &Traffic, job: &ForwardJob<'_>, target: &TargetSpec) -> bool {
     let now = traffic.shared.now();
     let allowed = job.context.allowance.borrow_mut().try_take(now);
@@ -189,7 +190,7 @@
         ServiceEvent::Repeated
     } else {
         job.record
-            .trace(format_args!("no room to try another target"));
+            .trace(format_args!("no retry allowed for another target"));
         ServiceEvent::RepeatDenied
     };
     traffic
@@ -219,13 +220,13 @@
     let request =
         encode_forward(job.parts, job.body.clone(), &forward_context).map_err(|problem| {
             log::warn!(
-                "request={} not passed on: {problem}",
+                "request={} cannot be forwarded: {problem}",
                 record.attributes.attempt
             );
-            CallError::NotSent("the request can't be passed on")
+            CallError::NotSent("the request can't be encoded")
         })?;
     record.trace(format_args!(
-        "to {} in {}, left {}ms",
+        "sending to {} in {}, {}ms remaining",
         target.id,
         target.hall,
         remaining.as_millis()
@@ -241,7 +242,7 @@
     call.or(fetched).await
 }
 
-/// Takes a target's answer: to the client, or to try another target.
+/// Handles a target's response. Returns `None` if another target should be tried.
 async fn handle_response(
     traffic: &Rc<Traffic>,
     job: &ForwardJob<'_>,
@@ -252,7 +253,7 @@
     let target = placed.target.clone();
     let record = job.record;
     let status = response.parts.status;
-    record.trace(format_args!("answer {status}"));
+    record.trace(format_args!("response {status}"));
     let is_stream = record.route.kind == CallKind::Stream && status.is_success();
     if is_stream {
         job.context.record_success(traffic.shared.now(), &target.id);
@@ -301,8 +302,8 @@
     ResultCode::Done
 }
 
-/// Has it found out whether the target crashed under the request. Where the request may be sent again,
-/// that waits until it is known.
+/// Checks whether the target crashed because of the request. If the request may be sent again,
+/// waits for the result of the check.
 async fn check_crash(
     traffic: &Rc<Traffic>,
     job: &ForwardJob<'_>,
@@ -337,19 +338,19 @@
     let mut table = job.context.targets.borrow_mut();
     match error {
         CallError::Unavailable(reason) => {
-            // No try: nothing was to reach the target.
+            // This does not count as an attempt: nothing was sent to the target.
             job.record
-                .trace(format_args!("{} not asked: {reason}", target.id));
+                .trace(format_args!("{} not called: {reason}", target.id));
             if log.sent > 0 {
                 job.context.allowance.borrow_mut().release();
             }
         }
         CallError::Limited => {
-            // No try either; there may be a permit again for the same target.
+            // This does not count as an attempt either; the same target may have a permit later.
             let metrics = &traffic.shared.metrics;
             metrics.record_service_event(&target.service, ServiceEvent::Limited);
             job.record.trace(format_args!(
-                "{} not asked: its limit is used up",
+                "{} not called: its rate limit is used up",
                 target.id
             ));
             if log.sent > 0 {
@@ -378,7 +379,7 @@
             log.sent += 1;
             log.may_have_run = true;
             job.record
-                .trace(format_args!("{} gave no answer: {reason}", target.id));
+                .trace(format_args!("{} gave no response: {reason}", target.id));
             table.record_failure(&target.id);
             let metrics = &traffic.shared.metrics;
             metrics.record_service_event(&target.service, ServiceEvent::CallFailed);
@@ -387,7 +388,7 @@
     None
 }
 
-/// Returns the final answer where no target gave one.
+/// Returns the final response if no target gave one.
 fn final_response(
     traffic: &Traffic,
     job: &ForwardJob<'_>,
@@ -396,7 +397,7 @@
     let record = job.record;
     if let Some(response) = log.failed {
         record.record_first_byte();
-        record.end(ResultCode::StageFailed, "a target failed at it");
+        record.end(ResultCode::StageFailed, "a target returned an error");
         return response;
     }
     let is_late = traffic.shared.now() >= record.deadline;
--- a/packages/turnford-serve/src/inputs.rs
+++ b/packages/turnford-serve/src/inputs.rs
@@ -1,7 +1,7 @@
-//! Results that the pieces of one stage need for the last time.
+//! Results that the pieces of one stage are the last to need.
 //!
-//! A call fetches its inputs when its turn comes, long before it ends. Once the calls of all pieces
-//! are at work the inputs are given up, so that their room is free for others.
+//! A call fetches its inputs when it starts, long before it ends. Once the calls of all pieces are
+//! running, the inputs are released to free their space for others.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,17 +10,16 @@
 use crate::release::PieceResult;
 use crate::traffic::Traffic;
 
-/// The inputs of a stage's pieces, until all have read them.
+/// Tracks the inputs of a stage's pieces until all pieces have read them.
 pub(crate) struct InputTracker {
     traffic: Rc<Traffic>,
     results: Vec<PieceResult>,
-    /// Pieces that have not read them yet.
+    /// Number of pieces that have not read the inputs yet.
     unread: Cell<usize>,
     is_released: Cell<bool>,
 }
 
 impl InputTracker {
-    /// Makes a hold for so many pieces.
     pub(crate) fn new(traffic: &Rc<Traffic>, results: Vec<PieceResult>, pieces: usize) -> Rc<Self> {
         Rc::new(Self {
             traffic: traffic.clone(),
@@ -30,7 +29,7 @@
         })
     }
 
-    /// Notes that the call of a piece is at work.
+    /// Records that the call of a piece is running. Releases the inputs after the last piece.
     pub(crate) fn record_read(&self) {
         let unread = self.unread.get().saturating_sub(1);
         self.unread.set(unread);
@@ -39,12 +38,11 @@
         }
     }
 
-    /// Notes that a piece has to run again.
+    /// Records that a piece has to run again.
     pub(crate) fn record_unread(&self) {
         self.unread.set(self.unread.get() + 1);
     }
 
-    /// Tells whether the inputs were given up.
     pub(crate) fn is_released(&self) -> bool {
         self.is_released.get()
     }
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -1,4 +1,4 @@
-//! Pieces of stages that wait for the targets of one cell, and who waits for them.
+//! Pieces of stages that wait for the targets of one cell, and the requests that wait for them.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -32,41 +32,40 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Why a piece of a request that crashes targets is not made.
-const CRASH_REASON: &str = "targets crash when they run it";
+/// Reason given for pieces of requests that crash targets.
+const CRASH_REASON: &str = "targets crash when they run the request";
 
-/// How a piece ended for the request that needs it.
+/// How a piece ended for its request.
 #[derive(Clone, Debug)]
 pub(crate) enum PieceOutcome {
-    /// The result.
+    /// The piece is done.
     Completed(PieceResult),
-    /// A result that it needs is gone.
+    /// A result that the piece needs is missing.
     InputMissing,
-    /// It was not made; no target has it.
+    /// The piece was not completed, and no target has it.
     Failed(&'static str),
-    /// It was not offered to any target, since the node stops gathering.
+    /// The piece was not offered to any target, because the node stops batching.
     NotScheduled,
 }
 
-/// Who waits for a piece.
+/// The request that waits for a piece.
 struct PieceWaiter {
     outcome: Sender<PieceOutcome>,
     inputs: Rc<InputTracker>,
-    /// Whether the piece was noted as having read its inputs.
+    /// Whether the piece was recorded as having read its inputs.
     has_read: bool,
 }
 
 /// The pieces that wait for the targets of one cell.
 pub(crate) struct CellQueue {
     pub(crate) scheduler: RefCell<BatchScheduler>,
-    /// Targets of the cell.
     pub(crate) targets: RefCell<Vec<TargetSpec>>,
     waiters: RefCell<HashMap<PieceTicket, PieceWaiter>>,
-    /// When a call gave no result last.
+    /// When a call last failed.
     pub(crate) last_failure_at: Cell<Option<Moment>>,
-    /// When the next look is due though nothing happens until then.
+    /// When the next dispatch is due if no event triggers one earlier.
     next_wakeup: Cell<Option<Moment>>,
-    /// Targets with limits that permits are asked for.
+    /// Rate-limited targets for which a permit has been requested.
     pending_permits: RefCell<BTreeSet<TargetId>>,
 }
 
@@ -82,26 +81,26 @@
         })
     }
 
-    /// Tells whether a piece can be made anew: the results that it needs were not given up.
+    /// Returns whether a piece can run again, i.e. its inputs have not been released.
     pub(crate) fn has_inputs(&self, ticket: PieceTicket) -> bool {
         let waiters = self.waiters.borrow();
         let waiter = waiters.get(&ticket);
         waiter.is_some_and(|waiter| !waiter.inputs.is_released())
     }
 
-    /// Tells a request how its piece ended; returns the outcome if nobody waits for it.
+    /// Delivers the outcome of a piece to its request. Returns the outcome if nobody waits for it.
     fn deliver(&self, ticket: PieceTicket, outcome: PieceOutcome) -> Option<PieceOutcome> {
         let Some(waiter) = self.waiters.borrow_mut().remove(&ticket) else {
             return Some(outcome);
         };
-        // It may have been offered to another target, too.
+        // The piece may also have been offered to another target.
         self.scheduler.borrow_mut().cancel(ticket);
         let delivered = waiter.outcome.try_send(outcome);
         delivered.err().map(async_channel::TrySendError::into_inner)
     }
 }
 
-/// A cell of a service, as its work needs it.
+/// A cell of a service with the state that its calls need.
 #[derive(Clone)]
 pub(crate) struct PieceCell {
     pub(crate) traffic: Rc<Traffic>,
@@ -109,7 +108,7 @@
     pub(crate) queue: Rc<CellQueue>,
 }
 
-/// A piece that a request waits for; dropping it withdraws the piece.
+/// A piece that a request waits for. Dropping it cancels the piece.
 pub(crate) struct PendingPiece {
     cell: PieceCell,
     ticket: PieceTicket,
@@ -117,7 +116,7 @@
 }
 
 impl PendingPiece {
-    /// Waits for the end of the piece.
+    /// Waits for the outcome of the piece.
     pub(crate) async fn outcome(&self) -> PieceOutcome {
         let outcome = self.outcome.recv().await;
         outcome.unwrap_or(PieceOutcome::Failed("the piece was dropped"))
@@ -129,7 +128,7 @@
         let queue = &self.cell.queue;
         queue.waiters.borrow_mut().remove(&self.ticket);
         queue.scheduler.borrow_mut().cancel(self.ticket);
-        // A result may have come that was never looked at.
+        // A result may have arrived that was never received.
         if let Ok(PieceOutcome::Completed(result)) = self.outcome.try_recv() {
             release_results(&self.cell.traffic, vec![result]);
         }
@@ -137,7 +136,7 @@
 }
 
 impl PieceCell {
-    /// Puts pieces into the queue.
+    /// Queues pieces.
     pub(crate) fn submit(
         &self,
         works: Vec<PieceWork>,
@@ -156,7 +155,7 @@
             };
             self.queue.waiters.borrow_mut().insert(ticket, waiter);
             if matches!(verdict, CrashVerdict::Refused(_)) {
-                // The taker is there and waits.
+                // The waiter was just inserted.
                 let _ = self
                     .queue
                     .deliver(ticket, PieceOutcome::Failed(CRASH_REASON));
@@ -171,22 +170,22 @@
         pending
     }
 
-    /// Returns what is known of a piece's request.
+    /// Returns the crash verdict on a piece's request.
     fn verdict(&self, work: &PieceWork) -> CrashVerdict {
         let now = self.traffic.shared.now();
         self.traffic.crashes.verdict(now, &work.digest)
     }
 
-    /// Gives all waiting pieces back to the nodes that asked for them.
+    /// Returns all queued pieces to the nodes that requested them.
     pub(crate) fn return_pieces(&self) {
         let tickets = self.queue.scheduler.borrow_mut().drain();
         for ticket in tickets {
-            // A request that left needs no word.
+            // The request may have ended.
             let _ = self.queue.deliver(ticket, PieceOutcome::NotScheduled);
         }
     }
 
-    /// Makes the calls that can be made now.
+    /// Starts the calls that can be made now.
     pub(crate) fn dispatch(&self) {
         let now = self.traffic.shared.now();
         self.request_reports(now);
@@ -197,10 +196,10 @@
             scheduler.plan(now, &table, &self.context.available_targets(now, &targets))
         };
         for ticket in expired {
-            // A request that left needs no word.
+            // The request may have ended.
             let _ = self
                 .queue
-                .deliver(ticket, PieceOutcome::Failed("its time was over"));
+                .deliver(ticket, PieceOutcome::Failed("the deadline passed"));
         }
         for plan in plans {
             let run = run_batch(self.clone(), plan);
@@ -210,7 +209,8 @@
         self.schedule_wakeup(now);
     }
 
-    /// Asks targets that this node did not use lately what others left there, before it uses them.
+    /// Requests reports from targets that this node has not used recently. Other nodes may have
+    /// left results there.
     fn request_reports(&self, now: Moment) {
         let unreported = {
             let targets = self.queue.targets.borrow();
@@ -228,18 +228,18 @@
         if !unreported.is_empty() {
             let waiting = self.queue.scheduler.borrow().queue_len();
             log::info!(
-                "gathers for service={} waiting={waiting}, asks targets={}",
+                "batching for service={} waiting={waiting}, requesting reports from targets={}",
                 self.context.spec.borrow().name,
                 unreported.len()
             );
         }
         for target in unreported {
-            let ask = fetch_report(self.clone(), target);
-            self.traffic.executor.spawn(ask).detach();
+            let fetch = fetch_report(self.clone(), target);
+            self.traffic.executor.spawn(fetch).detach();
         }
     }
 
-    /// Asks for permits for calls to targets with limits that could be made now.
+    /// Requests permits for calls to rate-limited targets that could be made now.
     fn request_permits(&self, now: Moment) {
         let targets = self.queue.targets.borrow();
         for target in targets
@@ -252,8 +252,8 @@
                 .borrow_mut()
                 .insert(target.id.clone())
             {
-                let ask = request_permit(self.clone(), target.clone());
-                self.traffic.executor.spawn(ask).detach();
+                let request = request_permit(self.clone(), target.clone());
+                self.traffic.executor.spawn(request).detach();
             }
         }
     }
@@ -267,7 +267,7 @@
         is_limited && is_open && has_use()
     }
 
-    /// Looks again when a pause or a deadline ends.
+    /// Schedules a dispatch for when the next pause, backoff or deadline ends.
     fn schedule_wakeup(&self, now: Moment) {
         let wakeup = self.queue.scheduler.borrow_mut().next_wakeup(now);
         let Some(wakeup) = wakeup.into_iter().chain(self.backoff_end(now)).min() else {
@@ -286,7 +286,7 @@
         self.traffic.executor.spawn(wait).detach();
     }
 
-    /// Returns when the next target's rest ends, where pieces wait.
+    /// Returns when the next backoff of a target ends, `None` if no pieces are queued.
     fn backoff_end(&self, now: Moment) -> Option<Moment> {
         if self.queue.scheduler.borrow().queue_len() == 0 {
             return None;
@@ -298,7 +298,7 @@
         ends.min()
     }
 
-    /// Tells the requests how their pieces ended.
+    /// Delivers the outcomes of a call's pieces to their requests.
     pub(crate) fn deliver_results(
         &self,
         target: &TargetSpec,
@@ -316,9 +316,9 @@
                     gatherer: None,
                 }),
                 PieceStatus::InputMissing => PieceOutcome::InputMissing,
-                PieceStatus::Expired => PieceOutcome::Failed("its time was over at its turn"),
-                PieceStatus::NoSpace => PieceOutcome::Failed("no room for the result"),
-                PieceStatus::Failed => PieceOutcome::Failed("the target failed at it"),
+                PieceStatus::Expired => PieceOutcome::Failed("the deadline passed before its turn"),
+                PieceStatus::NoSpace => PieceOutcome::Failed("no space for the result"),
+                PieceStatus::Failed => PieceOutcome::Failed("the target failed to run it"),
             };
             if let Some(PieceOutcome::Completed(result)) = self.queue.deliver(ticket, outcome) {
                 release_results(&self.traffic, vec![result]);
@@ -326,7 +326,7 @@
         }
     }
 
-    /// Notes that the calls of these pieces are at work and have fetched their inputs.
+    /// Records that the calls of these pieces are running and have fetched their inputs.
     pub(crate) fn record_read(&self, plan: &BatchPlan) {
         let mut waiters = self.queue.waiters.borrow_mut();
         for (ticket, _) in &plan.pieces {
@@ -338,7 +338,7 @@
         }
     }
 
-    /// Notes that a piece has to run again; false if nobody waits for it.
+    /// Records that a piece has to run again. Returns false if nobody waits for it.
     fn record_unread(&self, ticket: PieceTicket) -> bool {
         let mut waiters = self.queue.waiters.borrow_mut();
         let Some(waiter) = waiters.get_mut(&ticket) else {
@@ -350,8 +350,8 @@
         true
     }
 
-    /// Puts a piece back that found no room for its result, which is larger than expected. Nothing
-    /// ran, so it is no repeat.
+    /// Requeues a piece whose result did not fit into the target's free space because it is larger
+    /// than expected. Nothing ran, so this does not count as a retry.
     fn requeue_larger(&self, target: &str, ticket: PieceTicket, work: &PieceWork) -> bool {
         if !self.record_unread(ticket) {
             return false;
@@ -362,22 +362,22 @@
         true
     }
 
-    /// Puts the pieces of a call that gave nothing back into the queue. Where they may have run, each
-    /// needs room in the allowance of repeats.
+    /// Requeues the pieces of a failed call. If they may have run, each one needs a retry from the
+    /// allowance.
     pub(crate) fn requeue_pieces(&self, plan: BatchPlan, reason: &'static str, may_have_run: bool) {
         let now = self.traffic.shared.now();
         for (ticket, mut work) in plan.pieces {
             let verdict = self.verdict(&work);
             work.is_suspect = verdict != CrashVerdict::Clear;
             if matches!(verdict, CrashVerdict::Refused(_)) {
-                // A request that left needs no word.
+                // The request may have ended.
                 let _ = self
                     .queue
                     .deliver(ticket, PieceOutcome::Failed(CRASH_REASON));
                 continue;
             }
             if !self.queue.has_inputs(ticket) {
-                // A request that left needs no word.
+                // The request may have ended.
                 let _ = self.queue.deliver(ticket, PieceOutcome::InputMissing);
                 continue;
             }
@@ -387,14 +387,14 @@
             if !may_have_run || self.context.allowance.borrow_mut().try_take(now) {
                 self.queue.scheduler.borrow_mut().requeue(ticket, work);
             } else {
-                // A request that left needs no word.
+                // The request may have ended.
                 let _ = self.queue.deliver(ticket, PieceOutcome::Failed(reason));
             }
         }
     }
 }
 
-/// Asks for a permit for one target, and looks again when there is one, or may be.
+/// Requests a permit for one target. Dispatches again when it is granted or may be available.
 async fn request_permit(cell: PieceCell, target: TargetSpec) {
     let limits = &cell.context.limits;
     let end = limits.acquire_permit(&target, PermitPurpose::Work).await;
--- a/packages/turnford-serve/src/placed_run.rs
+++ b/packages/turnford-serve/src/placed_run.rs
@@ -1,4 +1,4 @@
-//! A request's place at a target, and what becomes of it there.
+//! Placements of requests at targets, and reports of their progress.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,17 +14,18 @@
 use crate::traffic::Traffic;
 use crate::wait_queue::QueuePosition;
 
-/// A place for a request; its end is told when this is dropped.
+/// A request placed at a target. Dropping this reports its end to the placer.
 pub(crate) struct PlacedRun {
     pub(crate) target: TargetSpec,
-    /// Whether targets crashed while they ran such a request, and it is the only such one there.
+    /// Whether targets have crashed while running such a request, so that it runs there as the only
+    /// suspect.
     pub(crate) is_alone: bool,
-    /// Its place in the line, where it waited for a target, until it is sent.
+    /// Its position in the wait queue until it is sent, if it had to wait for a target.
     pub(crate) position: Option<QueuePosition>,
     pub(crate) run: Option<RunRegistration>,
 }
 
-/// The placement of a request, where a node noted it.
+/// A placement that a node has registered.
 pub(crate) struct RunRegistration {
     pub(crate) placer: PlacerHandle,
     pub(crate) ticket: RunTicket,
@@ -32,7 +33,7 @@
 }
 
 impl PlacedRun {
-    /// Notes that the first event came.
+    /// Reports the first event of the response.
     pub(crate) fn report_first_event(&self) {
         if let Some(run) = &self.run {
             let now = run.placer.traffic.shared.now();
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Notes that the target could not be reached or did not take the request.
+    /// Reports that the target could not be reached or did not accept the request.
     pub(crate) fn report_refusal(&self) {
         if let Some(run) = &self.run {
             run.placer.notify(RunUpdate::Refused(run.ticket));
@@ -56,7 +57,7 @@
     }
 }
 
-/// A place as it was found now.
+/// Outcome of one attempt to place a request.
 pub(crate) enum PlacementAttempt {
     Placed(Box<PlacedRun>),
     NoTarget,
@@ -66,7 +67,8 @@
     Full(Duration),
 }
 
-/// Returns the placement that a node, `None` for this one, noted.
+/// Returns a handle for a placement registered by another node, or by this one if `address` is
+/// `None`.
 pub(crate) fn register_run(
     traffic: &Rc<Traffic>,
     context: &Rc<ServiceContext>,
--- a/packages/turnford-serve/src/placement.rs
+++ b/packages/turnford-serve/src/placement.rs
@@ -1,8 +1,8 @@
-//! Which target takes a request.
+//! Selection of the target for a request.
 //!
-//! For model engines one node, found by rendezvous hashing, places the requests of all, since only
-//! then is it known what each engine still has to read and which prompts it keeps. A node that gets
-//! no answer from it places the request by what it knows itself.
+//! For model engines a single node, found by rendezvous hashing, places the requests of all nodes.
+//! Only then is it known how much each engine still has to read and which prompts it has cached. A
+//! node that gets no answer from it places the request by what it knows itself.
 
 use std::hash::Hasher;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
 use crate::trial::SUSPECT_WAIT_TIMEOUT;
 use crate::wait_queue::QueuePosition;
 
-/// Returns the hall that a request's last target will probably be in.
+/// Returns the hall that will probably serve a request's final call.
 pub(crate) fn predict_hall(
     context: &ServiceContext,
     segments: &[PromptSegment],
@@ -50,31 +50,32 @@
     Some(target.hall.clone())
 }
 
-/// Where a request may run.
+/// Final outcome of placing a request.
 pub(crate) enum PlacementOutcome {
-    /// At a target.
     Placed(Box<PlacedRun>),
-    /// No target can take it.
+    /// No target can accept it.
     NoTarget,
-    /// Targets crashed under such a request.
+    /// Targets have crashed while running such a request.
     Suspect(SuspectRefusal),
-    /// All want rest for longer than the request has time; when to come back.
+    /// All targets have asked for backoff for longer than the request has time; contains the time
+    /// to retry after.
     TooLate(Duration),
-    /// All have limits, and its turn does not come in time; when to come back.
+    /// All targets are rate-limited, and its turn does not come in time; contains the time to retry
+    /// after.
     Full(Duration),
 }
 
-/// What a request wants of its place.
+/// What the caller requires of a placement.
 pub(crate) struct PlacementOptions<'a> {
     /// Bytes of its inputs in each hall.
     pub(crate) inputs: &'a [(Arc<str>, u64)],
-    /// Targets that it was not served by.
+    /// Targets that have failed to serve it.
     pub(crate) tried: &'a [TargetId],
-    /// Whether it may wait until a target's rest is over.
+    /// Whether it may wait until a target's backoff ends.
     pub(crate) may_wait: bool,
 }
 
-/// Finds a place for a request. A suspect waits for a while where another copy of it runs.
+/// Places a request. A suspect waits for a limited time while another copy of it runs.
 pub(crate) async fn place_request(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
@@ -96,13 +97,13 @@
     let mut is_traced = false;
     loop {
         let position = match acquire_position(traffic, record, context, options).await {
-            Ok(place) => place,
+            Ok(position) => position,
             Err(AvailabilityError::NoTarget) => return PlacementOutcome::NoTarget,
             Err(AvailabilityError::TooLate(retry_after)) => {
                 return PlacementOutcome::TooLate(retry_after)
             }
         };
-        // The node that places does not know which targets want rest of this one.
+        // The placer does not know which targets have asked this node for backoff.
         let now = traffic.shared.now();
         let closed = context.targets.borrow().closed_targets(now);
         placement.tried = [tried, &closed[..]].concat();
@@ -117,7 +118,9 @@
             PlacementAttempt::Wait(span) => {
                 drop(position);
                 if !std::mem::replace(&mut is_traced, true) {
-                    record.trace(format_args!("waits for its turn, targets have limits"));
+                    record.trace(format_args!(
+                        "waiting for a permit, all targets are rate-limited"
+                    ));
                 }
                 Timer::after(span).await;
                 continue;
@@ -136,7 +139,7 @@
     }
 }
 
-/// Returns the request's claim to a turn where all targets have limits.
+/// Builds the request's entry in the permit queue for rate-limited targets.
 fn build_queued_request(
     traffic: &Traffic,
     record: &RequestRecord,
@@ -156,7 +159,7 @@
     }
 }
 
-/// Finds out whether a target takes the request, now or, where it may wait, after a rest.
+/// Checks whether a target accepts the request now or, if it may wait, after a backoff.
 async fn acquire_position(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
@@ -202,9 +205,11 @@
             }
             return found;
         }
-        record.trace(format_args!("placed here: {placer} gave no place"));
+        record.trace(format_args!(
+            "placed locally: no usable reply from {placer}"
+        ));
         if context.limits.placer().is_some() {
-            // Another one divides the limits.
+            // Another node allocates the limits.
             return place_locally(traffic, context, digest, placement, queued);
         }
     }
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -1,4 +1,4 @@
-//! Questions to the node that places for all, and its answers.
+//! Requests to the node that places for all nodes, and its replies.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -30,10 +30,11 @@
 use crate::trial::CheckedPlacement;
 use crate::trial::SUSPECT_POLL_INTERVAL;
 
-/// Pause before another node is asked that is told to place.
+/// Delay before following a redirect to another placer.
 const REDIRECT_DELAY: Duration = Duration::from_millis(2);
 
-/// Asks the node that places for all; `None` if it gives no answer, or one that can't be used.
+/// Requests a placement from the placer. Returns `None` if it gives no answer, or one that can't be
+/// used.
 pub(crate) async fn request_placement(
     traffic: &Rc<Traffic>,
     context: &Rc<ServiceContext>,
@@ -96,7 +97,8 @@
     }
 }
 
-/// Takes the answer to an ask that was made at a moment; `None` if it can't be used.
+/// Handles the reply to a request made at `requested_at`. Returns `None` if the reply can't be
+/// used.
 fn handle_place_reply(
     traffic: &Rc<Traffic>,
     context: &Rc<ServiceContext>,
@@ -116,7 +118,7 @@
                 context.limits.add_permit(&id, requested_at);
             }
             let run = register_run(traffic, context, Some(placer), ticket);
-            // The other node may not know yet that the target leaves.
+            // The placer may not know yet that the target is leaving.
             let target = context.targets.borrow().get(&id).cloned();
             let target = target.filter(|target| !target.leaving)?;
             if !context
@@ -125,7 +127,8 @@
                 .borrow()
                 .is_open(traffic.shared.now(), &id)
             {
-                // The other node has not heard of the limit, or this one not of its end.
+                // The placer does not know the limit yet, or this node does not know that it has
+                // ended.
                 report_limit(&context.limits, &target);
                 return Some(PlacementAttempt::Wait(SUSPECT_POLL_INTERVAL));
             }
@@ -150,7 +153,7 @@
     }
 }
 
-/// Answers a request to place.
+/// Handles another node's request for a placement.
 pub(crate) fn answer_place(traffic: &Rc<Traffic>, place_request: PlaceRequest) -> WorkReply {
     let Some(context) = traffic.service(&place_request.service) else {
         return WorkReply::Refused;
--- a/packages/turnford-serve/src/plain_choice.rs
+++ b/packages/turnford-serve/src/plain_choice.rs
@@ -1,4 +1,4 @@
-//! The choice among targets that are no engines.
+//! Choice of a target for services that are not model engines.
 
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
@@ -6,14 +6,14 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Cost of a target in another hall against one request more in its queue.
+/// Cost of a target in another hall, relative to a load of one request per slot.
 const REMOTE_HALL_COST: f64 = 0.002;
 
-/// Cost of a target that has this node's part of its connections in use, against requests in its
-/// queue: it is chosen only where all are so.
+/// Cost of a target whose connections allotted to this node are all in use, relative to a load of
+/// one request per slot. Such a target is chosen only if all targets are in this state.
 const OVER_LIMIT_COST: f64 = 1000.0;
 
-/// Chooses a target that is no engine, by what this node knows.
+/// Chooses a target by what this node knows.
 pub(crate) fn choose_target(
     traffic: &Traffic,
     context: &ServiceContext,
@@ -27,7 +27,8 @@
     let cost = |target: &TargetSpec, load: f64| {
         let is_local = target.hall == *own_hall;
         let hall_cost = if is_local { 0.0 } else { REMOTE_HALL_COST };
-        // Each call takes a connection; beyond this node's part of them the target resets some.
+        // Each call takes a connection. Beyond this node's share of them the target resets
+        // connections.
         let is_over = f64::from(table.inflight(&target.id) + 1) > limit.max(1.0);
         let over_cost = if is_over { OVER_LIMIT_COST } else { 0.0 };
         load / f64::from(target.slots.max(1)) + hall_cost + over_cost
--- a/packages/turnford-serve/src/progress.rs
+++ b/packages/turnford-serve/src/progress.rs
@@ -1,4 +1,4 @@
-//! What became of placed requests, told to the node that placed them.
+//! Reports of the progress of placed requests to the node that placed them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,17 +15,17 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Time in which news of placed requests is gathered.
+/// Time for which updates are collected before they are sent.
 const FLUSH_DELAY: Duration = Duration::from_millis(40);
 
-/// Longest wait for news to be noted.
+/// Timeout for the acknowledgement of updates.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The node that admits and places a service's requests, to be told what became of one.
+/// The node that admits and places a service's requests, which receives updates about one of them.
 pub(crate) struct PlacerHandle {
     pub(crate) traffic: Rc<Traffic>,
     pub(crate) context: Rc<ServiceContext>,
-    /// Its address, `None` for this node.
+    /// Address of that node, `None` for this node.
     pub(crate) address: Option<SocketAddr>,
 }
 
@@ -41,16 +41,16 @@
     }
 }
 
-/// News of placed requests that is not told yet.
+/// Updates that have not been sent yet.
 #[derive(Default)]
 pub(crate) struct ProgressQueue {
     waiting: RefCell<HashMap<(SocketAddr, ServiceId), Vec<RunUpdate>>>,
 }
 
-/// Answers news of placed requests.
-pub(crate) fn answer_progress(traffic: &Traffic, service: &str, update: &[RunUpdate]) {
+/// Handles updates about requests that this node placed.
+pub(crate) fn answer_progress(traffic: &Traffic, service: &str, updates: &[RunUpdate]) {
     if let Some(context) = traffic.service(service) {
-        for update in update {
+        for update in updates {
             apply_update(traffic, &context, *update);
         }
     }
@@ -87,7 +87,7 @@
     }
 }
 
-/// Tells the node that placed a request what became of it, soon.
+/// Queues an update for the node that placed a request.
 fn queue_progress(
     traffic: &Rc<Traffic>,
     placer: SocketAddr,
@@ -106,11 +106,11 @@
 
 async fn send_progress(traffic: Rc<Traffic>, key: (SocketAddr, ServiceId)) {
     Timer::after(FLUSH_DELAY).await;
-    let update = traffic.progress.waiting.borrow_mut().remove(&key);
+    let updates = traffic.progress.waiting.borrow_mut().remove(&key);
     let request = WorkRequest::Progress {
         service: key.1.to_string(),
-        updates: update.unwrap_or_default(),
+        updates: updates.unwrap_or_default(),
     };
-    // A node that does not hear it forgets the requests after their deadline.
+    // A node that misses the updates drops the requests after their deadline.
     traffic.peers.call(key.0, &request, SEND_TIMEOUT).await;
 }
--- a/packages/turnford-serve/src/record.rs
+++ b/packages/turnford-serve/src/record.rs
@@ -1,4 +1,4 @@
-//! What happened to one request, written as one log line at its end.
+//! Record of one request, written as one log line at its end.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -19,35 +19,35 @@
 use crate::shared::ServeShared;
 use crate::wait::wait_until;
 
-/// Longest story of one request in its log line, in bytes. What goes beyond is left out.
+/// Maximum length of a request's trace in its log line, in bytes. Later entries are dropped.
 const MAX_TRACE_BYTES: usize = 1500;
 
-/// A request from its head to its end. Dropped without an end, it says that the client left.
+/// A request from its head to its end. If it is dropped without an end, it is logged as abandoned
+/// by the client.
 pub(crate) struct RequestRecord {
     shared: Arc<ServeShared>,
     pub(crate) attributes: CallAttributes,
     pub(crate) route: Arc<RouteSpec>,
     pub(crate) account: Option<AccountId>,
-    /// Rank: 0 goes first.
+    /// Priority rank of the account; 0 is the most urgent.
     pub(crate) rank: u8,
     pub(crate) started_at: Moment,
-    /// When the request must have its final answer.
+    /// When the final response is due at the latest.
     pub(crate) deadline: Moment,
-    /// Hall of the target that the request will probably run at.
+    /// Hall of the target that will probably serve the final call.
     pub(crate) predicted_hall: RefCell<Option<Arc<str>>>,
     version: u64,
-    /// Digest of what it asks for, once its body is read.
+    /// Digest of the request, set once its body has been read.
     pub(crate) digest: Cell<RequestDigest>,
-    /// Span that its own call takes until the first answer, as known when the request came.
+    /// Time from the start of the final call to its first event, as estimated on arrival.
     pub(crate) final_call_time: Cell<Duration>,
-    /// When its own call began.
     final_call_start: Cell<Moment>,
     trace: RefCell<String>,
-    /// Time until the first byte of the answer.
+    /// Time until the first byte of the response.
     first_byte: Cell<Option<Duration>>,
-    /// When the last event of the answer came.
+    /// When the last event of the response arrived.
     last_event: Cell<Option<Moment>>,
-    /// Longest pause between two events of the answer.
+    /// Longest pause between two events of the response.
     longest_pause: Cell<Duration>,
     is_ended: Cell<bool>,
 }
@@ -86,15 +86,15 @@
         })
     }
 
-    /// Returns the request's stages in their order.
+    /// Returns the dependency graph of the request's stages.
     pub(crate) fn stage_graph(&self) -> StageGraph {
         StageGraph::new(&self.route.stages, |stage| {
             self.attributes.piece_count(stage)
         })
     }
 
-    /// Returns when its first answer must come for the client to be there still, and for this node to
-    /// be running.
+    /// Returns when the first event must arrive so that the client still waits and this node still
+    /// runs.
     pub(crate) fn first_event_deadline(&self) -> Moment {
         let client_timeout = self.route.first_event_timeout;
         let client = client_timeout.map(|client_timeout| self.started_at + client_timeout);
@@ -103,7 +103,7 @@
         ends.fold(self.deadline, Moment::min)
     }
 
-    /// Returns when its answer is due.
+    /// Returns the time set by the route's latency objective.
     pub(crate) fn due(&self) -> Moment {
         self.started_at + self.route.latency_objective
     }
@@ -113,12 +113,11 @@
         self.deadline.saturating_sub(self.shared.now())
     }
 
-    /// Waits until the deadline.
     pub(crate) async fn wait_deadline(&self) {
         wait_until(&self.shared, self.deadline).await;
     }
 
-    /// Adds a decision or event to the request's line, with the time since its begin.
+    /// Adds a decision or event to the trace, with the time since the request started.
     pub(crate) fn trace(&self, text: std::fmt::Arguments<'_>) {
         let mut trace = self.trace.borrow_mut();
         if trace.len() < MAX_TRACE_BYTES {
@@ -132,19 +131,18 @@
         }
     }
 
-    /// Notes that the request's own call begins.
     pub(crate) fn record_final_call_start(&self) {
         self.final_call_start.set(self.shared.now());
     }
 
-    /// Returns the span since the request's own call began.
+    /// Returns the time since the final call started.
     pub(crate) fn final_call_elapsed(&self) -> Duration {
         self.shared
             .now()
             .saturating_sub(self.final_call_start.get())
     }
 
-    /// Notes the first byte of the answer.
+    /// Records the first byte of the response.
     pub(crate) fn record_first_byte(&self) {
         let time = self.shared.now().saturating_sub(self.started_at);
         self.first_byte.set(Some(time));
@@ -153,7 +151,7 @@
             .record_first_byte(self.account_name(), self.rank, time);
     }
 
-    /// Notes an event of the answer.
+    /// Records an event of the response.
     pub(crate) fn record_event(&self) {
         let now = self.shared.now();
         if let Some(previous) = self.last_event.replace(Some(now)) {
@@ -167,7 +165,7 @@
         self.longest_pause.get()
     }
 
-    /// Ends the request, once.
+    /// Ends the request. Only the first call has an effect.
     pub(crate) fn end(&self, code: ResultCode, reason: &str) {
         if self.is_ended.replace(true) {
             return;
@@ -190,7 +188,7 @@
         } else {
             log::Level::Warn
         };
-        // What an ordinary request passed through stays out of its line.
+        // The trace of an ordinary request is left out of its log line.
         let trace = if is_normal { "" } else { trace.as_str() };
         log::log!(
             level,
@@ -219,6 +217,6 @@
 
 impl Drop for RequestRecord {
     fn drop(&mut self) {
-        self.end(ResultCode::CallerGone, "the client closed");
+        self.end(ResultCode::CallerGone, "the client disconnected");
     }
 }
--- a/packages/turnford-serve/src/request.rs
+++ b/packages/turnford-serve/src/request.rs
@@ -1,4 +1,4 @@
-//! The way of one request.
+//! Handling of one client request.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -40,13 +40,14 @@
 use crate::trial::admit_suspect;
 use crate::trial::SuspectRefusal;
 
-/// Times that the stages of a request run when their results are gone before they are used.
+/// Number of times that the stages of a request run if their results go missing before they are
+/// used.
 const MAX_STAGE_ROUNDS: u32 = 5;
 
-/// Time to come back from a node that stops: another one takes the request at once.
+/// Retry time after a refusal by a node that is stopping: another node accepts the request at once.
 pub(crate) const REDIRECT_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// Time to come back to a node that has no configuration yet.
+/// Retry time after a refusal by a node that has no configuration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A refusal before a request is admitted.
@@ -66,7 +67,6 @@
     }
 }
 
-/// Serves one request of a client.
 pub(crate) async fn serve_request(
     traffic: Rc<Traffic>,
     request: Request<Incoming>,
@@ -96,12 +96,12 @@
         Ok(suspect) => suspect,
         Err(refusal) => return refuse_suspect(&record, &refusal),
     };
-    let answer = run_request(&traffic, &record, &parts, &body).await;
+    let response = run_request(&traffic, &record, &parts, &body).await;
     drop(suspect);
-    answer
+    response
 }
 
-/// Finds the route and the account of a request.
+/// Checks a request against its route and account, and starts its record.
 fn admit_request(
     traffic: &Rc<Traffic>,
     view: &RouteView,
@@ -165,7 +165,7 @@
         .ok_or_else(|| EarlyRefusal::new(ResultCode::UnknownTemplate, "no such route"))
 }
 
-/// Returns the host that a request names.
+/// Returns the host of the request target, or else of the `Host` header.
 fn host_of(parts: &Parts) -> Option<&str> {
     let named = parts.headers.get(http::header::HOST);
     let named = named.and_then(|host| host.to_str().ok());
@@ -227,7 +227,7 @@
     }
 }
 
-/// Runs the stages and the request's own call.
+/// Runs the stages and the final call of a request.
 async fn run_request(
     traffic: &Rc<Traffic>,
     record: &Rc<RequestRecord>,
@@ -244,7 +244,7 @@
         .final_call_time
         .set(context.predict_final_call(record.attributes.unique_tokens()));
     if let Err(error) = check_availability(traffic, record, &context) {
-        // Its stages would run in vain.
+        // Its stages would run for nothing.
         return refuse_unavailable(record, error);
     }
     *record.predicted_hall.borrow_mut() = predict_hall(&context, &record.attributes.segments);
@@ -259,7 +259,7 @@
         let results = match stages.or(infeasible).or(stopped).await {
             Ok(results) => results,
             Err(StageError::InputMissing) => {
-                record.trace(format_args!("a result was gone"));
+                record.trace(format_args!("a stage result is missing"));
                 continue;
             }
             Err(StageError::Failed(reason)) => {
@@ -283,30 +283,33 @@
             results: &results,
         };
         match forward(traffic, &job).await {
-            ForwardOutcome::Response(answer) => return answer,
-            ForwardOutcome::InputMissing => record.trace(format_args!("a result was gone")),
+            ForwardOutcome::Response(response) => return response,
+            ForwardOutcome::InputMissing => record.trace(format_args!("a stage result is missing")),
         }
     }
     let reason = "results of stages were gone";
     refuse_admitted(record, ResultCode::Shed, reason, RETRY_AFTER)
 }
 
-/// Waits until the node is about to end.
+/// Waits until the node is about to stop.
 async fn wait_shutdown(traffic: &Traffic) -> StageError {
-    // Nothing is ever sent; the channel's end is the word.
+    // Nothing is sent over the channel; closing it is the signal.
     let _ = traffic.shutdown.recv().await;
     StageError::Failed("the node stops")
 }
 
-/// Refuses a request whose stages would be late.
+/// Refuses a request whose stages would end too late.
 fn refuse_late(record: &RequestRecord, refusal: &FlowRefusal) -> Response<ResponseBody> {
-    record.trace(format_args!("late by {}ms", refusal.lateness.as_millis()));
+    record.trace(format_args!(
+        "stages would end {}ms late",
+        refusal.lateness.as_millis()
+    ));
     let reason = "the queues of its stages are too long";
     let retry_after = refusal.retry_after.max(RETRY_AFTER);
     refuse_admitted(record, ResultCode::DeadlineTooShort, reason, retry_after)
 }
 
-/// Refuses a request under which targets crashed; this try of it has not run.
+/// Refuses a request because targets have crashed while running it. This attempt of it has not run.
 pub(crate) fn refuse_suspect(
     record: &RequestRecord,
     refusal: &SuspectRefusal,
@@ -314,7 +317,7 @@
     refuse_admitted(record, refusal.code, refusal.reason(), refusal.retry_after)
 }
 
-/// Refuses a request that no target takes in time.
+/// Refuses a request that no target accepts in time.
 fn refuse_unavailable(record: &RequestRecord, error: AvailabilityError) -> Response<ResponseBody> {
     match error {
         AvailabilityError::NoTarget => {
@@ -325,7 +328,7 @@
     }
 }
 
-/// Refuses a request whose targets all want rest for longer than it has time.
+/// Refuses a request whose targets have all asked for backoff for longer than it has time.
 pub(crate) fn refuse_backoff(
     record: &RequestRecord,
     retry_after: Duration,
@@ -334,7 +337,7 @@
     refuse_admitted(record, ResultCode::NoTarget, reason, retry_after)
 }
 
-/// Refuses a request whose targets' limits leave no call for it in time.
+/// Refuses a request whose targets' rate limits allow no call in time.
 pub(crate) fn refuse_limited(
     record: &RequestRecord,
     retry_after: Duration,
--- a/packages/turnford-serve/src/results.rs
+++ b/packages/turnford-serve/src/results.rs
@@ -1,4 +1,4 @@
-//! Results of stages that a request holds until they were used.
+//! Results of stages that a request holds until they have been used.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use crate::release::PieceResult;
 use crate::traffic::Traffic;
 
-/// Results that one request holds; they are given up when this is dropped.
+/// Results that one request holds. Dropping this releases them.
 pub(crate) struct HeldResults {
     traffic: Rc<Traffic>,
     pub(crate) stages: Vec<Vec<PieceResult>>,
@@ -33,7 +33,7 @@
         results.map(|result| result.handle.clone()).collect()
     }
 
-    /// Returns the bytes that the results of some stages have in each hall.
+    /// Returns the bytes that the results of some stages occupy in each hall.
     pub(crate) fn hall_bytes(
         &self,
         record: &RequestRecord,
@@ -53,7 +53,7 @@
         halls
     }
 
-    /// Returns the hall in which most results of some stages lie.
+    /// Returns the hall that holds most results of some stages.
     pub(crate) fn main_hall(&self, stages: &[usize]) -> Option<Arc<str>> {
         let results = stages.iter().flat_map(|&stage| &self.stages[stage]);
         let mut halls: Vec<Arc<str>> = results.map(|result| result.producer.hall.clone()).collect();
@@ -81,7 +81,7 @@
     }
 }
 
-/// The results that a request's own call needs.
+/// The results that the final call of a request needs.
 pub(crate) struct StageResults {
     /// Handles in the order of stages and pieces.
     pub(crate) handles: Vec<String>,
@@ -91,7 +91,7 @@
 }
 
 impl StageResults {
-    /// Gives the results up: their target has read them.
+    /// Releases the results, once their target has read them.
     pub(crate) fn release(&self) {
         self.held.borrow_mut().release_all();
     }
--- a/packages/turnford-serve/src/service_context.rs
+++ b/packages/turnford-serve/src/service_context.rs
@@ -1,4 +1,5 @@
-//! One service as the traffic thread has it: its targets, what was learned of them, and what waits.
+//! State of one service on the traffic thread: its targets, what has been learned about them, and
+//! the requests that wait.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -30,44 +31,42 @@
 use crate::pieces::CellQueue;
 use crate::wait_queue::WaitQueue;
 
-/// Time after which half of a told wait no longer counts: queues change within a call or two.
+/// Half-life of a reported wait. Queues change within a call or two.
 const WAIT_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// What is thought of a service's own calls before a first one was made, by the tokens that only the
-/// request has: the span until the first answer of none, and of [`START_TOKENS`]. Calls of the first
-/// second replace it.
+/// Initial estimate of the time to the first event of a final call: with no unique tokens in the
+/// prompt, and with [`INITIAL_LATENCY_TOKENS`]. The calls of the first second replace it.
 const INITIAL_LATENCY: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(150));
 
-/// Tokens of the second of these.
+/// Number of unique tokens for the second value of [`INITIAL_LATENCY`].
 const INITIAL_LATENCY_TOKENS: f64 = 2000.0;
 
-/// A service.
 pub(crate) struct ServiceContext {
     pub(crate) spec: RefCell<Arc<ServiceSpec>>,
     pub(crate) targets: RefCell<TargetTable>,
-    /// Limits that targets name for all nodes together.
+    /// Rate limits that targets announce for all nodes together.
     pub(crate) limits: Rc<ServiceLimits>,
-    /// What is known of the targets where they are model engines.
+    /// State of the targets if they are model engines.
     pub(crate) engines: RefCell<EngineScheduler>,
-    /// What admitted requests for this service still need of their stages.
+    /// Work that admitted requests for this service still have at their stages.
     pub(crate) flow: RefCell<FlowController>,
     pub(crate) allowance: RefCell<RetryAllowance>,
-    /// Suspects that run, where this node places for all.
+    /// Suspects that are running, if this node places for all nodes.
     pub(crate) trials: RefCell<TrialTable>,
-    /// Number of the newest trial at a target that is no engine.
+    /// Id of the latest trial at a target that is not an engine.
     next_trial: Cell<TrialId>,
-    /// Span of this node's own calls until their first answer, by the tokens that only the request has.
+    /// Model of the time to the first event of this node's final calls, by unique prompt tokens.
     latency_model: RefCell<LatencyModel>,
-    /// Requests that wait until a target takes calls.
+    /// Requests that wait until a target accepts calls.
     pub(crate) wait_queue: Rc<WaitQueue>,
-    /// Cells of the targets, where the service runs pieces of stages.
+    /// Queues of the cells, if the service runs pieces of stages.
     pub(crate) cells: RefCell<Vec<Rc<CellQueue>>>,
-    /// Waits that the gathering nodes told, by cell.
+    /// Waits reported by the batching nodes, by cell.
     waits: RefCell<HashMap<usize, ReportedWaits>>,
 }
 
-/// Time that new pieces of each account rank would wait, as another node told it.
+/// Expected wait of new pieces by account rank, as reported by another node.
 struct ReportedWaits {
     at: Moment,
     waits: [Duration; RANK_COUNT],
@@ -99,26 +98,27 @@
         })
     }
 
-    /// Returns the span that a request's own call takes until its first answer, as most do.
+    /// Predicts the time to the first event of a final call.
     pub(crate) fn predict_final_call(&self, unique_tokens: u64) -> Duration {
         self.latency_model.borrow().predict(unique_tokens as f64)
     }
 
-    /// Learns the span of such a call.
+    /// Records the measured time of such a call.
     pub(crate) fn record_final_call(&self, unique_tokens: u64, span: Duration) {
         self.latency_model
             .borrow_mut()
             .observe(unique_tokens as f64, span);
     }
 
-    /// Returns a number for a trial at a target that is no engine; engines number their runs.
+    /// Returns the id of a new trial at a target that is not an engine. Engines number their runs
+    /// themselves.
     pub(crate) fn next_trial_id(&self) -> TrialId {
         self.next_trial.set(self.next_trial.get() + 1);
         self.next_trial.get()
     }
 
-    /// Returns why a target takes no such call of this node now, `None` if it takes it. The call counts
-    /// as under way already, and uses up a permit where the target has a limit.
+    /// Returns why a target accepts no such call from this node now, `None` if it does. The call
+    /// must already count as in flight. It uses up a permit if the target is rate-limited.
     pub(crate) fn rejection_reason(
         &self,
         now: Moment,
@@ -127,25 +127,25 @@
     ) -> Option<CallError> {
         let table = self.targets.borrow();
         let Some(spec) = table.get(target) else {
-            return Some(CallError::Unavailable("the target is gone"));
+            return Some(CallError::Unavailable("the target is no longer listed"));
         };
         if spec.leaving && purpose != CallPurpose::Maintenance {
             return Some(CallError::Unavailable("the target is leaving"));
         }
         if table.backoff_until(now, target).is_some() {
-            return Some(CallError::Unavailable("the target wants rest"));
+            return Some(CallError::Unavailable("the target has asked for backoff"));
         }
         let has_room = purpose == CallPurpose::Maintenance || table.is_within_limit(now, target);
         if !has_room {
             return Some(CallError::Unavailable(
-                "the target comes back from its rest",
+                "the target is recovering from backoff",
             ));
         }
         let has_permit = self.limits.table.borrow_mut().try_acquire(now, target);
         (!has_permit).then_some(CallError::Limited)
     }
 
-    /// Returns those of a cell's targets that take a further call of this node.
+    /// Returns the targets of a cell that accept another call from this node.
     pub(crate) fn available_targets(&self, now: Moment, targets: &[TargetSpec]) -> Vec<TargetSpec> {
         let table = self.targets.borrow();
         let limits = self.limits.table.borrow();
@@ -155,13 +155,13 @@
         available.cloned().collect()
     }
 
-    /// Notes a good answer of a target; it may let in those that wait.
+    /// Records a successful response of a target, which may admit waiting requests.
     pub(crate) fn record_success(&self, now: Moment, target: &str) {
         self.targets.borrow_mut().record_success(now, target);
         self.wait_queue.wake_first();
     }
 
-    /// Returns what the service can do as a stage, `None` if it is none.
+    /// Returns the service's capacity as a stage, `None` if it runs no pieces.
     pub(crate) fn stage_rate(&self, now: Moment) -> Option<StageRate> {
         let spec = self.spec.borrow().clone();
         let batch = spec.batch.as_ref()?;
@@ -171,8 +171,8 @@
             !table.is_paused(now, &target.id) && !table.has_any_backoff(now, &target.id)
         };
         let available: Vec<&TargetSpec> = open.filter(is_awake).collect();
-        // Pauses are short: where all targets have one, some will soon be back.
-        let least = table.open_count().min(1);
+        // Pauses are short. If all targets pause, one of them is assumed to be back soon.
+        let min_open = table.open_count().min(1);
         let opens_in = table
             .opens_for_batcher_at(now)
             .unwrap_or(now)
@@ -188,7 +188,7 @@
                 LimitState::Free | LimitState::Easing => full,
             });
         let calls = if available.is_empty() {
-            full * least as f64
+            full * min_open as f64
         } else {
             calls.sum()
         };
@@ -197,7 +197,7 @@
             .iter()
             .all(|target| limits.state(&target.id).needs_permit());
         let opens_in = if all_limited && calls > 0.0 && !available.is_empty() {
-            // Half of the time between two calls, on the whole.
+            // On average a call waits for half of the interval between two calls.
             opens_in.max(Duration::from_secs_f64(0.5 / calls))
         } else {
             opens_in
@@ -211,8 +211,8 @@
         })
     }
 
-    /// Splits the targets into cells anew. A cell that is no longer needed helps another one until
-    /// its last piece has ended.
+    /// Updates the cells from the listed targets. A cell that is no longer needed shares the
+    /// targets of another one until its last piece has ended.
     pub(crate) fn refresh_cells(&self) {
         let spec = self.spec.borrow().clone();
         let Some(batch) = &spec.batch else {
@@ -225,29 +225,28 @@
         while cells.len() < cell_targets.len() {
             cells.push(CellQueue::new(batch.clone()));
         }
-        for (number, cell) in cells.iter().enumerate() {
+        for (index, cell) in cells.iter().enumerate() {
             cell.targets
                 .borrow_mut()
-                .clone_from(&cell_targets[number % cell_targets.len()]);
+                .clone_from(&cell_targets[index % cell_targets.len()]);
             let mut scheduler = cell.scheduler.borrow_mut();
             scheduler.set_spec(batch);
             scheduler.retain_listed(&table);
         }
     }
 
-    /// Returns the number of cells.
     pub(crate) fn cell_count(&self) -> usize {
         self.cells.borrow().len()
     }
 
-    /// Returns the targets of each cell that is in use.
+    /// Returns the targets of each cell in use.
     pub(crate) fn cell_targets(&self) -> Vec<Vec<TargetSpec>> {
         let table = self.targets.borrow();
         let open: Vec<TargetSpec> = table.open_targets().cloned().collect();
         split_cells(&open)
     }
 
-    /// Takes the waits that the gathering node of a cell told, in milliseconds.
+    /// Records the waits, in milliseconds, that the batching node of a cell reported.
     pub(crate) fn record_waits(&self, now: Moment, cell: usize, reported: &[u32]) {
         let mut waits = [Duration::ZERO; RANK_COUNT];
         for (wait, millis) in waits.iter_mut().zip(reported) {
@@ -257,7 +256,7 @@
         self.waits.borrow_mut().insert(cell, reported);
     }
 
-    /// Returns the wait that was told for a rank; what was told long ago counts less.
+    /// Returns the reported wait for a rank. It decays with its age.
     pub(crate) fn reported_wait(&self, now: Moment, cell: usize, rank: usize) -> Duration {
         let waits = self.waits.borrow();
         let Some(reported) = waits.get(&cell) else {
@@ -267,7 +266,7 @@
         reported.waits[rank].mul_f64(0.5_f64.powf(age))
     }
 
-    /// Returns the waits in a cell that this node gathers for.
+    /// Returns the waits in a cell that this node batches for.
     pub(crate) fn local_waits(&self, now: Moment, cell: usize) -> [Duration; RANK_COUNT] {
         let Some(queue) = self.cell(cell) else {
             return [Duration::ZERO; RANK_COUNT];
@@ -284,16 +283,15 @@
         waits
     }
 
-    /// Returns a cell by its number.
-    pub(crate) fn cell(&self, number: usize) -> Option<Rc<CellQueue>> {
+    pub(crate) fn cell(&self, index: usize) -> Option<Rc<CellQueue>> {
         let cells = self.cells.borrow();
         let count = cells.len().max(1);
-        cells.get(number % count).cloned()
+        cells.get(index % count).cloned()
     }
 }
 
-/// Returns when the first target of a cell takes calls of this node, `None` if one does now or there is
-/// none.
+/// Returns when the first target of a cell accepts calls from this node, `None` if one does so now
+/// or if there is none.
 pub(crate) fn next_available_at(
     now: Moment,
     table: &TargetTable,
@@ -306,16 +304,15 @@
     ends?.into_iter().min()
 }
 
-/// A call under way at a target; its end is noted when this is dropped.
+/// A call in flight at a target. Dropping this records its end.
 pub(crate) struct InFlightGuard {
     context: Rc<ServiceContext>,
     target: TargetId,
-    /// Start of the target's process.
     process_start: ProcessStart,
 }
 
 impl InFlightGuard {
-    /// Notes a call.
+    /// Records the start of a call.
     pub(crate) fn new(context: &Rc<ServiceContext>, target: &TargetSpec) -> Self {
         context.targets.borrow_mut().record_start(&target.id);
         Self {
--- a/packages/turnford-serve/src/signals.rs
+++ b/packages/turnford-serve/src/signals.rs
@@ -1,5 +1,5 @@
-//! What targets say of themselves in their answers: that they leave, that they want rest, that they take so many
-//! calls from all nodes together.
+//! What targets report about themselves in their responses: that they are leaving, that they ask
+//! for backoff, or that they limit the rate of calls from all nodes together.
 
 use std::rc::Rc;
 
@@ -19,17 +19,18 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Hears what a target says of itself in the answer to a call sent at a moment, whatever becomes of it.
+/// Processes what a target reports about itself in the response to a call sent at `sent_at`, whatever
+/// becomes of the response.
 pub(crate) fn process_signals(
     traffic: &Rc<Traffic>,
     context: &Rc<ServiceContext>,
     target: &TargetSpec,
     parts: &Parts,
     attempt: Option<&str>,
-    sent: Moment,
+    sent_at: Moment,
 ) -> TargetSignal {
     let signal = decode_signal(parts, attempt).unwrap_or_else(|(signal, problem)| {
-        log::warn!("target={} asks for rest: {problem}", target.id);
+        log::warn!("target={} sent an invalid backoff: {problem}", target.id);
         signal
     });
     let metrics = &traffic.shared.metrics;
@@ -37,34 +38,34 @@
         metrics.record_service_event(&target.service, ServiceEvent::AnnouncedLeaving);
         process_leaving(traffic, context, target);
     }
-    if let Some(rest) = signal.backoff {
+    if let Some(backoff) = signal.backoff {
         metrics.record_service_event(&target.service, ServiceEvent::RequestedBackoff);
         log::info!(
-            "target={} asks for rest of {}ms: request={}",
+            "target={} asks for backoff of {}ms: request={}",
             target.id,
-            rest.as_millis(),
+            backoff.as_millis(),
             attempt.unwrap_or("-")
         );
-        apply_backoff(traffic, context, target, rest);
+        apply_backoff(traffic, context, target, backoff);
     }
-    process_rate_limit(traffic, context, target, parts, attempt, sent);
+    process_rate_limit(traffic, context, target, parts, attempt, sent_at);
     signal
 }
 
-/// Hears what a target says of the calls that it takes from all nodes together.
+/// Processes a target's rate limit for the calls of all nodes together.
 fn process_rate_limit(
     traffic: &Rc<Traffic>,
     context: &Rc<ServiceContext>,
     target: &TargetSpec,
     parts: &Parts,
     attempt: Option<&str>,
-    sent: Moment,
+    sent_at: Moment,
 ) {
     let signal = match decode_limit(parts, attempt) {
         Ok(Some(signal)) => signal,
         Ok(None) => return,
         Err(problem) => {
-            log::warn!("target={} names a limit: {problem}", target.id);
+            log::warn!("target={} sent an invalid rate limit: {problem}", target.id);
             return;
         }
     };
@@ -72,10 +73,10 @@
         let metrics = &traffic.shared.metrics;
         metrics.record_service_event(&target.service, ServiceEvent::AnnouncedLimit);
     }
-    let heard = LimitObservation {
+    let observation = LimitObservation {
         signal,
-        sent_at: sent,
+        sent_at,
         received_at: traffic.shared.now(),
     };
-    process_limit(&context.limits, target, heard, attempt.unwrap_or("-"));
+    process_limit(&context.limits, target, observation, attempt.unwrap_or("-"));
 }
--- a/packages/turnford-serve/src/stage.rs
+++ b/packages/turnford-serve/src/stage.rs
@@ -1,4 +1,4 @@
-//! One stage of one request: its pieces go to a cell, and those that fail are made anew.
+//! One stage of one request. Its pieces go to a cell, and failed pieces run again.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,27 +22,26 @@
 use crate::stages::StageError;
 use crate::traffic::Traffic;
 
-/// Most times that one piece is made anew after a failure.
+/// Maximum number of retries of the pieces of a stage.
 const MAX_PIECE_RETRIES: u32 = 2;
 
-/// Pause before pieces that were handed back are handed to another node.
+/// Delay before returned pieces are handed to another node.
 const REASSIGN_DELAY: Duration = Duration::from_millis(10);
 
-/// Time that a piece waits for a target near its bytes, for each megabyte that would cross halls.
-/// A megabyte across is priced like a small part of a request's worth.
+/// Time that a piece waits for a target near its data, for each megabyte that would otherwise cross
+/// halls. A megabyte across halls costs as much as a small part of a request's value.
 const HALL_WAIT_PER_MB: Duration = Duration::from_millis(80);
 
-/// Longest time that a piece waits for a target near its bytes.
+/// Upper bound of the time that a piece waits for a target near its data.
 const MAX_HALL_WAIT: Duration = Duration::from_millis(300);
 
-/// What a stage made.
 pub(crate) struct StageOutput {
     pub(crate) results: Vec<PieceResult>,
-    /// Whether the results that only it needed were given up.
+    /// Whether the results in `last_use` were released.
     pub(crate) inputs_released: bool,
 }
 
-/// What a stage's pieces need beside the request itself.
+/// What the pieces of a stage need besides the request itself.
 pub(crate) struct StageParams {
     pub(crate) stage: usize,
     pub(crate) count: u32,
@@ -51,13 +50,12 @@
     pub(crate) last_use: Vec<PieceResult>,
     /// Hall in which the pieces should run.
     pub(crate) hall: Option<Arc<str>>,
-    /// Bytes that cross halls where they run elsewhere.
+    /// Bytes that cross halls if the pieces run in another hall.
     pub(crate) bytes: u64,
-    /// When they should be done for the request to be in time.
+    /// When the pieces should be done for the request to meet its latency objective.
     pub(crate) due: Moment,
 }
 
-/// Runs one stage of a request.
 pub(crate) async fn run_stage(
     traffic: Rc<Traffic>,
     record: Rc<RequestRecord>,
@@ -77,7 +75,7 @@
         let works = missing.iter();
         let works = works.map(|&piece| build_piece_work(&traffic, &record, &params, piece));
         let works: Vec<PieceWork> = works.collect();
-        // After a failure the pieces that are left can't tell what the others have read.
+        // After a failure, the remaining pieces don't know whether the others have read the inputs.
         let last_use = if failures == 0 && works.len() == params.count as usize {
             &params.last_use[..]
         } else {
@@ -114,7 +112,7 @@
             });
         }
         if attempted == 0 {
-            // The node that gathered stops; the others learn of it meanwhile.
+            // The batching node is stopping; the other nodes learn of it meanwhile.
             Timer::after(REASSIGN_DELAY).await;
             continue;
         }
@@ -131,8 +129,8 @@
     }
 }
 
-/// Chooses the cell whose pieces wait the least, as far as known; bytes that would cross halls count
-/// as the time that they are worth waiting for.
+/// Chooses the cell with the shortest expected wait. Bytes that would cross halls count as the time
+/// that is worth waiting to avoid this.
 fn choose_cell(
     traffic: &Traffic,
     record: &RequestRecord,
@@ -143,40 +141,40 @@
     let hall = params.hall.as_deref();
     let local_cell = hall.and_then(|hall| cell_of_hall(&cell_targets, hall));
     let offset = (traffic.random() * cell_targets.len() as f64) as usize;
-    let place = |index: usize| CellRef {
+    let cell_ref_at = |index: usize| CellRef {
         context: context.clone(),
         index,
     };
     let cost = |index: usize| {
-        let wait = expected_wait(traffic, &place(index), record.rank);
-        let is_far = local_cell.is_some_and(|local_cell| local_cell != index);
-        let crossing_cost = if is_far {
+        let wait = expected_wait(traffic, &cell_ref_at(index), record.rank);
+        let is_remote = local_cell.is_some_and(|local_cell| local_cell != index);
+        let crossing_cost = if is_remote {
             hall_wait(params.bytes)
         } else {
             Duration::ZERO
         };
         wait + crossing_cost
     };
-    // Equal cells are not all chosen alike.
+    // The random offset keeps requests from all choosing the same one of equal cells.
     let cells = (0..cell_targets.len()).map(|index| (index + offset) % cell_targets.len());
     let best = cells.min_by_key(|&index| cost(index));
-    place(best.unwrap_or(0))
+    cell_ref_at(best.unwrap_or(0))
 }
 
-/// Returns how long it is worth waiting so that so many bytes don't cross halls.
+/// Returns how long it is worth waiting to keep `bytes` from crossing halls.
 fn hall_wait(bytes: u64) -> Duration {
-    let patience = HALL_WAIT_PER_MB.mul_f64(bytes as f64 / 1e6);
-    patience.min(MAX_HALL_WAIT)
+    let wait = HALL_WAIT_PER_MB.mul_f64(bytes as f64 / 1e6);
+    wait.min(MAX_HALL_WAIT)
 }
 
-/// Notes new pieces, of which a part may be made anew.
+/// Records new pieces, which raise the allowance of retries.
 fn record_first_attempts(traffic: &Traffic, cell_ref: &CellRef, count: usize) {
     let now = traffic.shared.now();
     let mut allowance = cell_ref.context.allowance.borrow_mut();
     allowance.record_first_attempts(now, count);
 }
 
-/// Takes repeats of so many pieces from the service's allowance, all or none.
+/// Takes retries of `count` pieces from the service's allowance, all or none.
 fn try_take_retries(
     traffic: &Traffic,
     record: &RequestRecord,
--- a/packages/turnford-serve/src/stages.rs
+++ b/packages/turnford-serve/src/stages.rs
@@ -1,4 +1,4 @@
-//! The stages of one request, in the order that their results allow.
+//! The stages of one request, in the order that their dependencies allow.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,28 +22,24 @@
 use crate::stage::StageParams;
 use crate::traffic::Traffic;
 
-/// Size of a result, in bytes, that counts as large: a few of them fill a target's room.
+/// Size in bytes from which a result counts as large: a few such results fill a target's memory.
 const LARGE_RESULT_BYTES: u64 = 500_000;
 
 /// Why the stages gave no results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StageError {
-    /// A result was gone when it was needed.
+    /// A result was missing when it was needed.
     InputMissing,
-    /// A piece was not made.
+    /// A piece could not be completed.
     Failed(&'static str),
-    /// Targets crash when they run its pieces; it is refused for so long.
+    /// Targets crash when they run its pieces; contains the time for which the request is refused.
     CrashesTargets(Duration),
-    /// The request can't be served within its deadline any more.
-    Infeasible {
-        /// Time to come back.
-        retry_after: Duration,
-    },
+    /// The request can no longer be served within its deadline.
+    Infeasible { retry_after: Duration },
 }
 
 type StageCompletion = (usize, Result<StageOutput, StageError>);
 
-/// Runs all stages of a request.
 pub(crate) async fn run_stages(
     traffic: &Rc<Traffic>,
     record: &Rc<RequestRecord>,
@@ -91,7 +87,7 @@
     })
 }
 
-/// Forecasts those stages of a request that are open by the queues that this node was told of.
+/// Forecasts the open stages of a request from the queue lengths reported to this node.
 pub(crate) fn forecast_locally(
     traffic: &Traffic,
     record: &RequestRecord,
@@ -104,7 +100,7 @@
     })
 }
 
-/// Returns the time that the open stages of a request take at least.
+/// Returns the minimum time that the open stages of a request take, with empty queues.
 pub(crate) fn min_duration(
     traffic: &Traffic,
     record: &RequestRecord,
@@ -117,7 +113,7 @@
     forecast.end()
 }
 
-/// Adds up when stages end, those that need others beginning once these are done.
+/// Computes when each stage ends. A stage starts once all its inputs are done.
 fn accumulate_ends(
     graph: &StageGraph,
     span_of: impl Fn(usize) -> Option<Duration>,
@@ -148,7 +144,7 @@
     })
 }
 
-/// Returns the time that new pieces of a stage would wait, in the cell where it is least.
+/// Returns the expected wait of new pieces of a stage in its least loaded cell.
 fn stage_wait(traffic: &Traffic, record: &RequestRecord, stage: usize) -> Duration {
     let Some(context) = traffic.service(&record.route.stages[stage].service) else {
         return Duration::ZERO;
@@ -163,7 +159,7 @@
     waits.min().unwrap_or(Duration::ZERO)
 }
 
-/// Gives up the results that every stage that needs them has used.
+/// Releases the results that all dependent stages have used.
 fn release_used(graph: &StageGraph, done: &[bool], held: &mut HeldResults) {
     for stage in 0..graph.len() {
         let mut dependents = graph.dependents(stage).peekable();
@@ -173,28 +169,29 @@
     }
 }
 
-/// Returns the stages whose results only this one needs.
+/// Returns the inputs of a stage that no other stage needs.
 fn exclusive_inputs(graph: &StageGraph, stage: usize) -> Vec<usize> {
     let inputs = graph.inputs(stage).iter().copied();
     let is_only = |input: &usize| graph.dependents(*input).count() == 1;
     inputs.filter(is_only).collect()
 }
 
-/// Tells whether a stage's results are large and only needed at the end. They would take room for
-/// as long as the other stages run, so such a stage begins last.
+/// Returns whether a stage's results are large and only needed by the final call. They would occupy
+/// memory while the other stages run, so such a stage starts last.
 fn is_deferrable(record: &RequestRecord, graph: &StageGraph, stage: usize) -> bool {
     let bytes = record.route.stages[stage].result_bytes;
     bytes >= LARGE_RESULT_BYTES && graph.inputs(stage).is_empty() && graph.sinks().contains(&stage)
 }
 
-/// Tells whether a stage whose results are not large has yet to begin.
+/// Returns whether a stage that is not deferrable has yet to start.
 fn has_unstarted(record: &RequestRecord, graph: &StageGraph, started: &[bool]) -> bool {
     let mut unstarted =
         (0..graph.len()).filter(|&stage| graph.piece_count(stage) > 0 && !started[stage]);
     unstarted.any(|stage| !is_deferrable(record, graph, stage))
 }
 
-/// Finds what a stage's pieces need, and the hall that most of their bytes come from or go to.
+/// Determines what the pieces of a stage need, and the hall that most of their bytes come from or
+/// go to.
 fn stage_params(
     traffic: &Traffic,
     record: &RequestRecord,
@@ -231,7 +228,7 @@
     }
 }
 
-/// Returns the time that what comes after a stage takes at least.
+/// Returns the minimum time of everything that follows a stage, including waits.
 fn downstream_time(
     traffic: &Traffic,
     record: &RequestRecord,
--- a/packages/turnford-serve/src/stream.rs
+++ b/packages/turnford-serve/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events, passed on as they come.
+//! Event streams that are relayed as they arrive.
 
 use std::rc::Rc;
 
@@ -23,12 +23,12 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Chunks that wait for a slow client before the target is held up.
+/// Number of chunks buffered for a slow client before the target is throttled.
 const MAX_BUFFERED_CHUNKS: usize = 8;
 
 type ChunkSender = Sender<Result<Bytes, BodyTruncated>>;
 
-/// Returns the client's answer, whose body is passed on by a task.
+/// Returns the client's response, whose body a task relays.
 pub(crate) fn relay_stream(
     traffic: &Rc<Traffic>,
     record: &Rc<RequestRecord>,
@@ -58,12 +58,12 @@
                     has_started: true,
                     at: traffic.shared.now(),
                 };
-                // It goes on after the client has its answer's end.
+                // The check goes on after the client's response has ended.
                 let check = check_broken_call(traffic.clone(), context, call, placed);
                 traffic.executor.spawn(check).detach();
             }
-            record.end(ResultCode::StreamBroken, "the stream broke off");
-            // The client may have left.
+            record.end(ResultCode::StreamBroken, "the stream was truncated");
+            // The client may have disconnected.
             let _ = sender.send(Err(BodyTruncated)).await;
         }
     };
@@ -71,16 +71,16 @@
     proxied_response(&parts, ResponseBody::streamed(chunks, task))
 }
 
-/// How the passing on of a stream ended.
+/// How the relay of a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RelayOutcome {
     Completed,
     TargetDisconnected,
-    /// The deadline passed, or the client left.
+    /// The deadline passed, or the client disconnected.
     Stopped,
 }
 
-/// Passes a body on until its end or the deadline.
+/// Relays a body until its end or the deadline.
 async fn relay_chunks(
     record: &RequestRecord,
     context: &ServiceContext,
@@ -98,12 +98,12 @@
         let frame = match next.or(late).await {
             Some(Some(Ok(frame))) => frame,
             Some(Some(Err(error))) => {
-                record.trace(format_args!("the target broke off: {error}"));
+                record.trace(format_args!("the target disconnected: {error}"));
                 return RelayOutcome::TargetDisconnected;
             }
             Some(None) => return RelayOutcome::Completed,
             None => {
-                record.trace(format_args!("the deadline passed midway"));
+                record.trace(format_args!("the deadline passed during the stream"));
                 return RelayOutcome::Stopped;
             }
         };
--- a/packages/turnford-serve/src/traffic.rs
+++ b/packages/turnford-serve/src/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic thread's state.
+//! State of the traffic thread.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -27,26 +27,26 @@
 use crate::shared::RouteView;
 use crate::shared::ServeShared;
 
-/// Pause between looks for idle connections whose time is over.
+/// Interval between sweeps for expired idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Everything that serves requests; it lives on one thread.
+/// Everything that serves requests. It lives on one thread.
 pub(crate) struct Traffic {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) shared: Arc<ServeShared>,
     pub(crate) pool: RefCell<ConnectionPool>,
     pub(crate) releaser: ResultReleaser,
-    /// The other nodes.
+    /// Connections to the other nodes.
     pub(crate) peers: Rc<PeerPool>,
     pub(crate) progress: ProgressQueue,
-    /// Requests under which targets crashed.
+    /// Requests during which targets crashed.
     pub(crate) crashes: CrashTracker,
-    /// Words of targets that leave which are not told yet.
+    /// Leave announcements of targets that have not been forwarded yet.
     pub(crate) leaving: LeavingQueue,
-    /// Ends when the node is about to end.
+    /// Closed when the node is about to stop.
     pub(crate) shutdown: Receiver<()>,
     services: RefCell<HashMap<ServiceId, Rc<ServiceContext>>>,
-    /// What the services were last made from.
+    /// The view that the services were last updated from.
     view: RefCell<Arc<RouteView>>,
 }
 
@@ -72,17 +72,17 @@
         })
     }
 
-    /// Returns a service that the configuration names.
+    /// Returns a configured service.
     pub(crate) fn service(&self, service: &str) -> Option<Rc<ServiceContext>> {
         self.services.borrow().get(service).cloned()
     }
 
-    /// Returns all services that the configuration names or named.
+    /// Returns all services that are or were configured.
     pub(crate) fn all_services(&self) -> Vec<Rc<ServiceContext>> {
         self.services.borrow().values().cloned().collect()
     }
 
-    /// Plans a service's pieces anew after its targets changed.
+    /// Plans the pieces of a service again after its targets changed.
     pub(crate) fn refresh_pieces(self: &Rc<Self>, context: &Rc<ServiceContext>) {
         context.refresh_cells();
         for cell in self.cells(context) {
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Returns a number from 0 to below 1.
+    /// Returns a random number in the range 0.0 to 1.0, exclusive.
     pub(crate) fn random(&self) -> f64 {
         self.peers.random()
     }
 
-    /// Returns what the control thread knows now, with the services made from it. A request that
-    /// comes right after a change would find a configuration whose targets are not there yet, and be
-    /// refused by a node that says that it is ready.
+    /// Returns the control thread's current view, after the services have been updated from it.
+    /// Without that, a request that arrives right after a change would find a configuration without
+    /// targets, and a node that reports itself ready would refuse it.
     pub(crate) fn current_view(self: &Rc<Self>) -> Arc<RouteView> {
         let view = self.shared.view.load_full();
         if !Arc::ptr_eq(&view, &self.view.borrow()) {
@@ -168,12 +168,12 @@
         context.refresh_cells();
     }
 
-    /// Tells whether no other node lives.
+    /// Returns whether no other node is alive.
     fn is_alone(&self) -> bool {
         self.shared.view.load().members.is_empty()
     }
 
-    /// Notes that a target gave results up, whose room is free now.
+    /// Records that a target has released results, whose space is free now.
     pub(crate) fn handle_released(
         self: &Rc<Self>,
         context: &Rc<ServiceContext>,
@@ -200,7 +200,7 @@
     }
 }
 
-/// Takes each change of the view into force.
+/// Applies each change of the view.
 pub(crate) async fn follow_changes(traffic: Rc<Traffic>, changes: Receiver<()>) {
     let mut has_returned = false;
     while changes.recv().await.is_ok() {
@@ -218,7 +218,7 @@
     }
 }
 
-/// Closes idle connections to targets in time.
+/// Closes idle connections to targets before the targets do.
 pub(crate) async fn close_idle_connections(traffic: Rc<Traffic>) {
     loop {
         Timer::after(SWEEP_INTERVAL).await;
--- a/packages/turnford-serve/src/wait.rs
+++ b/packages/turnford-serve/src/wait.rs
@@ -1,4 +1,5 @@
-//! Waits by the node's clock, which goes on while the machine is suspended; timers don't.
+//! Timers by the node's clock. This clock advances while the machine is suspended; the runtime's
+//! timers don't.
 
 use std::time::Duration;
 
@@ -8,10 +9,9 @@
 
 use crate::shared::ServeShared;
 
-/// Longest wait for one timer: after a sleep, what is due is found out within this.
+/// Longest sleep of one timer. After a suspend, an expired wait is noticed within this time.
 const MAX_TIMER_WAIT: Duration = Duration::from_secs(1);
 
-/// Waits until a moment.
 pub(crate) async fn wait_until(shared: &ServeShared, until: Moment) {
     loop {
         let remaining = until.saturating_sub(shared.now());
--- a/packages/turnford-serve/src/wait_queue.rs
+++ b/packages/turnford-serve/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait until a target of their service takes calls, the most urgent first.
+//! Requests that wait until a target of their service accepts calls, the most urgent first.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -11,10 +11,11 @@
 use turnford_policy::ClassRank;
 use turnford_policy::Moment;
 
-/// Place in a line: ranks of the account and the route, when the answer is due, and the order of coming.
+/// Sort key in a queue: ranks of the account and of the route, due time of the response, and
+/// arrival sequence.
 pub(crate) type QueueKey = (ClassRank, ClassRank, Moment, u64);
 
-/// The line of one service.
+/// Wait queue of one service.
 #[derive(Default)]
 pub(crate) struct WaitQueue {
     waiting: RefCell<BTreeMap<QueueKey, Sender<()>>>,
@@ -22,18 +23,17 @@
 }
 
 impl WaitQueue {
-    /// Tells whether nobody waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.waiting.borrow().is_empty()
     }
 
-    /// Returns how many would go before a request with these ranks.
+    /// Returns how many waiting requests precede a request with these ranks.
     pub(crate) fn ahead_of(&self, ranks: (ClassRank, ClassRank), due: Moment) -> usize {
         let key = (ranks.0, ranks.1, due, u64::MAX);
         self.waiting.borrow().range(..key).count()
     }
 
-    /// Adds a request; it leaves when what is returned is dropped.
+    /// Adds a request. It leaves the queue when the returned position is dropped.
     pub(crate) fn join(
         self: &Rc<Self>,
         ranks: (ClassRank, ClassRank),
@@ -51,16 +51,16 @@
         }
     }
 
-    /// Has the first request look again.
+    /// Wakes the first request so that it checks for a target again.
     pub(crate) fn wake_first(&self) {
         if let Some(waker) = self.waiting.borrow().values().next() {
-            // A full channel holds a wake-up already.
+            // A full channel already holds a wake-up.
             let _ = waker.try_send(());
         }
     }
 }
 
-/// A request's place in a line.
+/// A request's position in a queue.
 pub(crate) struct QueuePosition {
     queue: Rc<WaitQueue>,
     key: QueueKey,
@@ -68,14 +68,14 @@
 }
 
 impl QueuePosition {
-    /// Returns how many go before.
+    /// Returns how many requests precede this one.
     pub(crate) fn ahead(&self) -> usize {
         self.queue.waiting.borrow().range(..self.key).count()
     }
 
-    /// Waits until it may be this request's turn.
+    /// Waits for a wake-up, after which it may be this request's turn.
     pub(crate) async fn wait_wakeup(&self) {
-        // The line keeps the other side for as long as this place is there.
+        // The queue keeps the sender for as long as this position exists.
         let _ = self.wakeups.recv().await;
     }
 }
--- a/packages/turnford-serve/src/work.rs
+++ b/packages/turnford-serve/src/work.rs
@@ -1,9 +1,9 @@
-//! Work between nodes: the pieces of a cell go to the node that gathers them, and one node places
-//! the requests for a service's engines.
+//! Work exchanged between nodes: the pieces of a cell go to the node that batches them, and one
+//! node places the requests for a service's engines.
 //!
-//! The node is found by rendezvous hashing over those that live. Nothing depends on all nodes
-//! agreeing: two that gather for one cell only fill their calls less well, and a node that gets no
-//! answer goes to the next one, in the end to itself.
+//! This node is found by rendezvous hashing over the nodes that are alive. Nodes don't need to
+//! agree on it: if two nodes batch for one cell, their calls are merely filled less well, and a
+//! node that gets no answer tries the next one and finally itself.
 
 use std::rc::Rc;
 
@@ -42,7 +42,7 @@
     traffic.current_view();
     match request {
         WorkRequest::Probe => WorkReply::Ack,
-        // Another node gathers from now on.
+        // Another node takes over this work.
         WorkRequest::Pieces(_)
         | WorkRequest::Admit(_)
         | WorkRequest::Place(_)
