--- a/packages/turnford-serve/tests/common/mod.rs
+++ b/packages/turnford-serve/tests/common/mod.rs
@@ -62,8 +62,8 @@
 pub(crate) struct SiteNode {
     pub(crate) node: Option<ServeNode>,
     pub(crate) settings: ServeSettings,
-    /// The node's own entry point to the store.
-    pub(crate) door: usize,
+    /// The node's own endpoint of the store.
+    pub(crate) endpoint: usize,
 }
 
 impl RouteSite {
@@ -102,13 +102,13 @@
     /// Starts a node in a hall of its own that finds the others only through the store, and waits
     /// until it accepts requests.
     pub(crate) fn node_in_hall(&mut self, name: &str, hall: &str) -> usize {
-        let (door, store) = self
+        let (endpoint, store) = self
             .store
             .open_endpoint(&self.executor)
             .expect("a free port");
         let mut settings = settings(name, store, Vec::new());
         settings.hall = Arc::from(hall);
-        let number = self.start_node(settings, door);
+        let number = self.start_node(settings, endpoint);
         self.wait_ready(number);
         number
     }
@@ -125,28 +125,28 @@
         self.start_with_peers(name, EndpointState::Open)
     }
 
-    /// Starts a node that the store refuses until its entry point is opened.
+    /// Starts a node that the store refuses until its endpoint is opened.
     pub(crate) fn node_without_store(&mut self, name: &str) -> usize {
         self.start_with_peers(name, EndpointState::Unavailable)
     }
 
     fn start_with_peers(&mut self, name: &str, state: EndpointState) -> usize {
-        let (door, store) = self
+        let (endpoint, store) = self
             .store
             .open_endpoint(&self.executor)
             .expect("a free port");
-        self.store.set_endpoint(door, state);
+        self.store.set_endpoint(endpoint, state);
         let peers = self.nodes.iter().map(|node| node.settings.inner);
-        self.start_node(settings(name, store, peers.collect()), door)
+        self.start_node(settings(name, store, peers.collect()), endpoint)
     }
 
-    fn start_node(&mut self, settings: ServeSettings, door: usize) -> usize {
+    fn start_node(&mut self, settings: ServeSettings, endpoint: usize) -> usize {
         let node = ServeNode::start(settings).expect("free ports");
         let settings = node.settings().clone();
         self.nodes.push(SiteNode {
             node: Some(node),
             settings,
-            door,
+            endpoint,
         });
         self.nodes.len() - 1
     }
--- a/packages/turnford-serve/tests/config_follow.rs
+++ b/packages/turnford-serve/tests/config_follow.rs
@@ -83,7 +83,7 @@
     let second = site.node("two");
     site.settle();
     site.store
-        .set_endpoint(site.nodes[second].door, EndpointState::Unavailable);
+        .set_endpoint(site.nodes[second].endpoint, EndpointState::Unavailable);
     let mut next = config(4);
     next["tenants"][0]["api_keys"] = serde_json::json!(["key-new"]);
     site.store.put("config", "main", next);
@@ -104,7 +104,7 @@
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
     site.store
-        .set_endpoint(site.nodes[node].door, EndpointState::Unavailable);
+        .set_endpoint(site.nodes[node].endpoint, EndpointState::Unavailable);
     wait_until("the store is lost", || {
         site.store.put("config", "main", config(2));
         true
@@ -112,6 +112,6 @@
     site.store.compact_history();
     site.store.put("config", "main", config(3));
     site.store
-        .set_endpoint(site.nodes[node].door, EndpointState::Open);
+        .set_endpoint(site.nodes[node].endpoint, EndpointState::Open);
     wait_until("version 3 is in force", || version(&site, node, 3));
 }
--- a/packages/turnford-serve/tests/crashing_requests.rs
+++ b/packages/turnford-serve/tests/crashing_requests.rs
@@ -253,7 +253,7 @@
     wait_until("the node refuses it", || is_refused(&site, 0, "bad-first"));
     for number in 0..site.nodes.len() {
         site.store
-            .set_endpoint(site.nodes[number].door, EndpointState::Unavailable);
+            .set_endpoint(site.nodes[number].endpoint, EndpointState::Unavailable);
     }
     let first = site.nodes[0].node.take();
     first.expect("a node").stop();
--- a/packages/turnford-serve/tests/leaving_answers.rs
+++ b/packages/turnford-serve/tests/leaving_answers.rs
@@ -63,7 +63,7 @@
 fn silence_store(site: &RouteSite) {
     for node in &site.nodes {
         site.store
-            .set_endpoint(node.door, EndpointState::Unresponsive);
+            .set_endpoint(node.endpoint, EndpointState::Unresponsive);
     }
 }
 
--- a/packages/turnford-serve/tests/leaving_targets.rs
+++ b/packages/turnford-serve/tests/leaving_targets.rs
@@ -61,7 +61,7 @@
     let mut site = RouteSite::new();
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
-    let door = site.nodes[node].door;
+    let door = site.nodes[node].endpoint;
     site.store.set_endpoint(door, EndpointState::Unavailable);
     std::thread::sleep(Duration::from_millis(5000));
     target.unpublish();
--- a/packages/turnford-serve/tests/store_calls.rs
+++ b/packages/turnford-serve/tests/store_calls.rs
@@ -30,7 +30,7 @@
     let mut site = RouteSite::new();
     list_target(&site, 0);
     let node = site.node("one");
-    let door = site.nodes[node].door;
+    let door = site.nodes[node].endpoint;
     let before = site.store.calls(door);
     let begun = Instant::now();
     // Targets that list themselves one after the other.
@@ -86,7 +86,7 @@
     let mut site = RouteSite::new();
     let watchers = start_hall(&mut site);
     let others: Vec<usize> = (0..NODES).filter(|node| !watchers.contains(node)).collect();
-    let calls = |node: &usize| site.store.calls(site.nodes[*node].door);
+    let calls = |node: &usize| site.store.calls(site.nodes[*node].endpoint);
     let before: Vec<u64> = others.iter().map(calls).collect();
     for number in 1..=10 {
         let begun = Instant::now();
@@ -120,7 +120,7 @@
     let others: Vec<usize> = (0..NODES).filter(|node| !watchers.contains(node)).collect();
     for &watcher in &watchers {
         site.store
-            .set_endpoint(site.nodes[watcher].door, EndpointState::Unresponsive);
+            .set_endpoint(site.nodes[watcher].endpoint, EndpointState::Unresponsive);
     }
     let begun = Instant::now();
     list_target(&site, 1);
@@ -136,7 +136,7 @@
     // Nobody reaches the store; when it is back, all know what changed meanwhile.
     let mut site = RouteSite::new();
     start_hall(&mut site);
-    let doors: Vec<usize> = site.nodes.iter().map(|node| node.door).collect();
+    let doors: Vec<usize> = site.nodes.iter().map(|node| node.endpoint).collect();
     for &door in &doors {
         site.store.set_endpoint(door, EndpointState::Unavailable);
     }
--- a/packages/turnford-serve/tests/store_drill.rs
+++ b/packages/turnford-serve/tests/store_drill.rs
@@ -51,7 +51,7 @@
 
 fn set_doors(site: &RouteSite, state: EndpointState) {
     for node in &site.nodes {
-        site.store.set_endpoint(node.door, state);
+        site.store.set_endpoint(node.endpoint, state);
     }
 }
 
@@ -169,7 +169,7 @@
     make_noise(&site, 0);
     catch_up(&site, 5);
     site.store
-        .set_endpoint(site.nodes[1].door, EndpointState::Unavailable);
+        .set_endpoint(site.nodes[1].endpoint, EndpointState::Unavailable);
     site.store.restore(copy);
     std::thread::sleep(IN_FORCE);
     site.store.put("config", "main", config(6));
--- a/packages/turnford-serve/tests/truthful_ends.rs
+++ b/packages/turnford-serve/tests/truthful_ends.rs
@@ -184,7 +184,7 @@
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let node = site.node_without_store("one");
-    let door = site.nodes[node].door;
+    let endpoint = site.nodes[node].endpoint;
     let site = &site;
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
@@ -202,6 +202,6 @@
             });
         }
         std::thread::sleep(Duration::from_millis(300));
-        site.store.set_endpoint(door, EndpointState::Open);
+        site.store.set_endpoint(endpoint, EndpointState::Open);
     });
 }
