--- a/packages/turnford-serve/src/availability.rs
+++ b/packages/turnford-serve/src/availability.rs
@@ -1,5 +1,5 @@
-//! Requests whose targets all want rest: those that can be served after it wait, the others are refused
-//! at once, with the time at which they can be.
+//! Requests of a service whose targets have all asked for backoff. Requests that can still be
+//! served in time wait; the others are refused at once with the time after which to retry.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,121 +16,134 @@
 use crate::traffic::Traffic;
 use crate::wait_queue::QueuePosition;
 
-/// Part of the time until a target takes calls over which those that are refused together come back.
-const RETURN_SPREAD: f64 = 0.25;
+/// Spread of the retry times of requests that are refused together, as a ratio of the time until a
+/// target accepts calls.
+const RETRY_SPREAD: f64 = 0.25;
 
-/// Longest time to come back that is told: a longer rest may end early with its target's process, and
-/// other targets may be there by then.
-const LONGEST_BACK: Duration = Duration::from_secs(30);
+/// Upper bound of the suggested retry time. A longer backoff may end early when the target's
+/// process restarts, and other targets may be available by then.
+const RETRY_AFTER_CAP: Duration = Duration::from_secs(30);
 
-/// Longest pause between looks whether it is a request's turn, where no end of a rest is known.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Longest interval between checks of a request's turn if no end of a backoff is known.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why a request does not wait for a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AvailabilityError {
-    /// No target is left that does not leave.
-    Nowhere,
-    /// Its time is over before one takes it; when to come back.
+    /// All targets that are left are leaving.
+    NoTarget,
+    /// The request's time ends before a target accepts it; contains the time to retry after.
     TooLate(Duration),
 }
 
-/// Tells whether a request can be served by the targets of a service, before anything is done for it.
+/// Checks before any work is done for a request that the targets of its service can serve it.
 ///
 /// # Errors
 ///
-/// Returns why it can't.
-pub(crate) fn check_opening(
+/// Returns why they can't.
+pub(crate) fn check_availability(
     traffic: &Traffic,
     record: &RequestRecord,
-    desk: &ServiceContext,
+    context: &ServiceContext,
 ) -> Result<(), AvailabilityError> {
     let now = traffic.shared.now();
-    if desk.line.is_empty() && desk.targets.borrow().has_open(now, &[]) {
+    if context.wait_queue.is_empty() && context.targets.borrow().has_open(now, &[]) {
         return Ok(());
     }
     let ranks = (record.rank, record.route.rank);
-    let ahead = desk.line.ahead_of(ranks, record.due());
-    forecast_turn(traffic, record, desk, &[], ahead).map(|_| ())
+    let ahead = context.wait_queue.ahead_of(ranks, record.due());
+    forecast_availability(traffic, record, context, &[], ahead).map(|_| ())
 }
 
-/// Waits until a target beside those tried takes the request. The place in the line is kept until the
-/// request is sent, so that the next one doesn't take the same room.
+/// Waits until a target that has not been tried accepts the request. The position in the queue is
+/// held until the request is sent, so that the next request doesn't take the same slot.
 ///
 /// # Errors
 ///
-/// Returns why it does not wait any longer.
-pub(crate) async fn wait_turn(
+/// Returns why the request stops waiting.
+pub(crate) async fn wait_for_target(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     tried: &[TargetId],
 ) -> Result<Option<QueuePosition>, AvailabilityError> {
     let has_open = || {
         let now = traffic.shared.now();
-        desk.targets.borrow().has_open(now, tried)
+        context.targets.borrow().has_open(now, tried)
     };
-    if desk.line.is_empty() && has_open() {
+    if context.wait_queue.is_empty() && has_open() {
         return Ok(None);
     }
     let ranks = (record.rank, record.route.rank);
-    let place = desk.line.enter(ranks, record.due());
-    let mut is_noted = false;
+    let position = context.wait_queue.join(ranks, record.due());
+    let mut is_traced = false;
     loop {
-        let ahead = place.ahead();
+        let ahead = position.ahead();
         if ahead == 0 && has_open() {
-            return Ok(Some(place));
+            return Ok(Some(position));
         }
-        let opening = forecast_turn(traffic, record, desk, tried, ahead)?;
-        if !is_noted {
-            is_noted = true;
-            let span = opening.saturating_sub(traffic.shared.now());
-            record.note(format_args!(
-                "all targets rest, {ahead} go before, the first opens in {}ms",
+        let available_at = forecast_availability(traffic, record, context, tried, ahead)?;
+        if !is_traced {
+            is_traced = true;
+            let span = available_at.saturating_sub(traffic.shared.now());
+            record.trace(format_args!(
+                "all targets in backoff, {ahead} requests ahead, first target available in {}ms",
                 span.as_millis()
             ));
         }
-        let left = opening.saturating_sub(traffic.shared.now());
-        let look = async {
-            Timer::after(if left.is_zero() { LOOK_PAUSE } else { left }).await;
+        let remaining = available_at.saturating_sub(traffic.shared.now());
+        let poll = async {
+            Timer::after(if remaining.is_zero() {
+                MAX_POLL_INTERVAL
+            } else {
+                remaining
+            })
+            .await;
         };
-        place.wait_woken().or(look).await;
+        position.wait_wakeup().or(poll).await;
     }
 }
 
-/// Returns when the first target takes calls, if a request with so many before it can be served then.
-fn forecast_turn(
+/// Returns when the first target accepts calls.
+///
+/// # Errors
+///
+/// Fails if no target is left, or if a request with `ahead` others before it can't be served in
+/// time.
+fn forecast_availability(
     traffic: &Traffic,
     record: &RequestRecord,
-    desk: &ServiceContext,
+    context: &ServiceContext,
     tried: &[TargetId],
     ahead: usize,
 ) -> Result<Moment, AvailabilityError> {
     let now = traffic.shared.now();
-    let board = desk.targets.borrow();
-    let opening = board
+    let table = context.targets.borrow();
+    let available_at = table
         .opens_at(now, tried)
-        .ok_or(AvailabilityError::Nowhere)?;
-    let last = record.last_span.get();
-    let rounds = ahead as f64 / f64::from(board.total_slots(tried).max(1));
-    let turn = opening.saturating_add(last.mul_f64(rounds));
-    if turn.saturating_add(last) <= record.serve_by() {
-        return Ok(opening);
+        .ok_or(AvailabilityError::NoTarget)?;
+    let final_call = record.final_call_time.get();
+    let rounds = ahead as f64 / f64::from(table.total_slots(tried).max(1));
+    let served_at = available_at.saturating_add(final_call.mul_f64(rounds));
+    if served_at.saturating_add(final_call) <= record.first_event_deadline() {
+        return Ok(available_at);
     }
-    Err(AvailabilityError::TooLate(back_span(traffic, turn)))
+    Err(AvailabilityError::TooLate(spread_retry_after(
+        traffic, served_at,
+    )))
 }
 
-/// Returns when clients should come back that no target took.
-pub(crate) fn return_span(traffic: &Traffic, desk: &ServiceContext) -> Duration {
+/// Returns when clients whose requests no target accepted should retry.
+pub(crate) fn suggest_retry_after(traffic: &Traffic, context: &ServiceContext) -> Duration {
     let now = traffic.shared.now();
-    let opening = desk.targets.borrow().opens_at(now, &[]);
-    opening.map_or(RETRY_AFTER, |at| back_span(traffic, at))
+    let available_at = context.targets.borrow().opens_at(now, &[]);
+    available_at.map_or(RETRY_AFTER, |at| spread_retry_after(traffic, at))
 }
 
-/// Returns when a client should come back for whom there is room at a moment. Those that are refused
-/// together come back one after the other.
-fn back_span(traffic: &Traffic, at: Moment) -> Duration {
-    let left = at.saturating_sub(traffic.shared.now()).min(LONGEST_BACK);
-    let spread = left.mul_f64(RETURN_SPREAD * traffic.random());
-    (left + spread).max(RETRY_AFTER)
+/// Returns when a client should retry if a slot is available at `at`. The times are spread so that
+/// requests that are refused together don't return together.
+fn spread_retry_after(traffic: &Traffic, at: Moment) -> Duration {
+    let remaining = at.saturating_sub(traffic.shared.now()).min(RETRY_AFTER_CAP);
+    let spread = remaining.mul_f64(RETRY_SPREAD * traffic.random());
+    (remaining + spread).max(RETRY_AFTER)
 }
--- a/packages/turnford-serve/src/results.rs
+++ b/packages/turnford-serve/src/results.rs
@@ -1,4 +1,4 @@
-//! Results of stages that a request holds until they were used.
+//! Results of stages that a request holds until they have been used.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use crate::release::PieceResult;
 use crate::traffic::Traffic;
 
-/// Results that one request holds; they are given up when this is dropped.
+/// Results that one request holds. Dropping this releases them.
 pub(crate) struct HeldResults {
     traffic: Rc<Traffic>,
     pub(crate) stages: Vec<Vec<PieceResult>>,
@@ -33,7 +33,7 @@
         results.map(|result| result.handle.clone()).collect()
     }
 
-    /// Returns the bytes that the results of some stages have in each hall.
+    /// Returns the bytes that the results of some stages occupy in each hall.
     pub(crate) fn hall_bytes(
         &self,
         record: &RequestRecord,
@@ -53,7 +53,7 @@
         halls
     }
 
-    /// Returns the hall in which most results of some stages lie.
+    /// Returns the hall that holds most results of some stages.
     pub(crate) fn main_hall(&self, stages: &[usize]) -> Option<Arc<str>> {
         let results = stages.iter().flat_map(|&stage| &self.stages[stage]);
         let mut halls: Vec<Arc<str>> = results.map(|result| result.producer.hall.clone()).collect();
@@ -63,13 +63,13 @@
         longest.first().cloned()
     }
 
-    pub(crate) fn give_up_all(&mut self) {
+    pub(crate) fn release_all(&mut self) {
         for stage in 0..self.stages.len() {
-            self.give_up(stage);
+            self.release(stage);
         }
     }
 
-    pub(crate) fn give_up(&mut self, stage: usize) {
+    pub(crate) fn release(&mut self, stage: usize) {
         let results = std::mem::take(&mut self.stages[stage]);
         release_results(&self.traffic, results);
     }
@@ -77,11 +77,11 @@
 
 impl Drop for HeldResults {
     fn drop(&mut self) {
-        self.give_up_all();
+        self.release_all();
     }
 }
 
-/// The results that a request's own call needs.
+/// The results that the final call of a request needs.
 pub(crate) struct StageResults {
     /// Handles in the order of stages and pieces.
     pub(crate) handles: Vec<String>,
@@ -91,8 +91,8 @@
 }
 
 impl StageResults {
-    /// Gives the results up: their target has read them.
-    pub(crate) fn give_up(&self) {
-        self.held.borrow_mut().give_up_all();
+    /// Releases the results, once their target has read them.
+    pub(crate) fn release(&self) {
+        self.held.borrow_mut().release_all();
     }
 }
--- a/packages/turnford-serve/src/wait_queue.rs
+++ b/packages/turnford-serve/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait until a target of their service takes calls, the most urgent first.
+//! Requests that wait until a target of their service accepts calls, the most urgent first.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -11,78 +11,78 @@
 use turnford_policy::ClassRank;
 use turnford_policy::Moment;
 
-/// Place in a line: ranks of the account and the route, when the answer is due, and the order of coming.
+/// Sort key in a queue: ranks of the account and of the route, due time of the response, and
+/// arrival sequence.
 pub(crate) type QueueKey = (ClassRank, ClassRank, Moment, u64);
 
-/// The line of one service.
+/// Wait queue of one service.
 #[derive(Default)]
 pub(crate) struct WaitQueue {
     waiting: RefCell<BTreeMap<QueueKey, Sender<()>>>,
-    next: Cell<u64>,
+    next_sequence: Cell<u64>,
 }
 
 impl WaitQueue {
-    /// Tells whether nobody waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.waiting.borrow().is_empty()
     }
 
-    /// Returns how many would go before a request with these ranks.
+    /// Returns how many waiting requests precede a request with these ranks.
     pub(crate) fn ahead_of(&self, ranks: (ClassRank, ClassRank), due: Moment) -> usize {
         let key = (ranks.0, ranks.1, due, u64::MAX);
         self.waiting.borrow().range(..key).count()
     }
 
-    /// Adds a request; it leaves when what is returned is dropped.
-    pub(crate) fn enter(
+    /// Adds a request. It leaves the queue when the returned position is dropped.
+    pub(crate) fn join(
         self: &Rc<Self>,
         ranks: (ClassRank, ClassRank),
         due: Moment,
     ) -> QueuePosition {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let key = (ranks.0, ranks.1, due, number);
-        let (wake, woken) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(key, wake);
+        let sequence = self.next_sequence.get();
+        self.next_sequence.set(sequence + 1);
+        let key = (ranks.0, ranks.1, due, sequence);
+        let (waker, wakeups) = async_channel::bounded(1);
+        self.waiting.borrow_mut().insert(key, waker);
         QueuePosition {
-            line: self.clone(),
+            queue: self.clone(),
             key,
-            woken,
+            wakeups,
         }
     }
 
-    /// Has the first request look again.
+    /// Wakes the first request so that it checks for a target again.
     pub(crate) fn wake_first(&self) {
-        if let Some(wake) = self.waiting.borrow().values().next() {
-            // A full channel holds a wake-up already.
-            let _ = wake.try_send(());
+        if let Some(waker) = self.waiting.borrow().values().next() {
+            // A full channel already holds a wake-up.
+            let _ = waker.try_send(());
         }
     }
 }
 
-/// A request's place in a line.
+/// A request's position in a queue.
 pub(crate) struct QueuePosition {
-    line: Rc<WaitQueue>,
+    queue: Rc<WaitQueue>,
     key: QueueKey,
-    woken: Receiver<()>,
+    wakeups: Receiver<()>,
 }
 
 impl QueuePosition {
-    /// Returns how many go before.
+    /// Returns how many requests precede this one.
     pub(crate) fn ahead(&self) -> usize {
-        self.line.waiting.borrow().range(..self.key).count()
+        self.queue.waiting.borrow().range(..self.key).count()
     }
 
-    /// Waits until it may be this request's turn.
-    pub(crate) async fn wait_woken(&self) {
-        // The line keeps the other side for as long as this place is there.
-        let _ = self.woken.recv().await;
+    /// Waits for a wake-up, after which it may be this request's turn.
+    pub(crate) async fn wait_wakeup(&self) {
+        // The queue keeps the sender for as long as this position exists.
+        let _ = self.wakeups.recv().await;
     }
 }
 
 impl Drop for QueuePosition {
     fn drop(&mut self) {
-        self.line.waiting.borrow_mut().remove(&self.key);
-        self.line.wake_first();
+        self.queue.waiting.borrow_mut().remove(&self.key);
+        self.queue.wake_first();
     }
 }
