--- a/packages/turnford-serve/src/control/members.rs
+++ b/packages/turnford-serve/src/control/members.rs
@@ -68,7 +68,7 @@
     context.executor.spawn(register(context.clone())).detach();
     let known = ask_known_peers(context.clone());
     context.executor.spawn(known).detach();
-    let mut has_left = false;
+    let mut has_departed = false;
     loop {
         Timer::after(TICK).await;
         let now = context.now();
@@ -82,7 +82,7 @@
             context.executor.spawn(probe).detach();
         }
         publish(&context);
-        if !has_left
+        if !has_departed
             && context
                 .registered_era
                 .get()
@@ -92,8 +92,8 @@
             let register = register_again(context.clone());
             context.executor.spawn(register).detach();
         }
-        if !has_left && context.shared.draining.load(Ordering::SeqCst) {
-            has_left = true;
+        if !has_departed && context.shared.draining.load(Ordering::SeqCst) {
+            has_departed = true;
             context.executor.spawn(leave(context.clone())).detach();
         }
     }
--- a/packages/turnford-serve/src/control/notify.rs
+++ b/packages/turnford-serve/src/control/notify.rs
@@ -18,7 +18,7 @@
 use super::view::pull_view;
 
 /// Nodes that each node tells of something new; in a few rounds all know.
-const NEWS_FANOUT: usize = 3;
+const UPDATE_FANOUT: usize = 3;
 
 /// Time in which changes are gathered into one piece of news.
 const NEWS_PAUSE: Duration = Duration::from_millis(40);
@@ -44,7 +44,7 @@
         }
         told = digest;
         let from = context.shared.settings.inner;
-        let peers = context.members.borrow_mut().sample(NEWS_FANOUT);
+        let peers = context.members.borrow_mut().sample(UPDATE_FANOUT);
         for peer in peers {
             let context = context.clone();
             let executor = context.executor.clone();
--- a/packages/turnford-serve/src/control/suspects.rs
+++ b/packages/turnford-serve/src/control/suspects.rs
@@ -13,7 +13,7 @@
 use turnford_policy::RequestDigest;
 
 use super::context::ControlContext;
-use crate::suspect_channel::KeepOrder;
+use crate::suspect_channel::SuspectCommand;
 
 /// Longest time for a call to the store.
 const STORE_LIMIT: Duration = Duration::from_millis(1500);
@@ -33,10 +33,12 @@
 
 /// Writes and removes requests' objects for as long as the node runs.
 pub(super) async fn keep_suspects(context: Rc<ControlContext>) {
-    while let Some(order) = context.shared.kept.next_order().await {
-        let (digest, done) = match order {
-            KeepOrder::Keep(digest, crashes) => (digest, write(&context, digest, crashes).await),
-            KeepOrder::Forget(digest) => {
+    while let Some(command) = context.shared.suspects.next_command().await {
+        let (digest, done) = match command {
+            SuspectCommand::Store(digest, crashes) => {
+                (digest, write(&context, digest, crashes).await)
+            }
+            SuspectCommand::Delete(digest) => {
                 let name = name_of(&digest);
                 let done = context.store.delete(SUSPECT_KIND, &name, STORE_LIMIT);
                 (digest, done.await)
@@ -94,7 +96,7 @@
             age_ms: news.age_ms.saturating_add(more),
             ..news
         });
-        context.shared.kept.note_learned(crashes.collect());
+        context.shared.suspects.add_stored(crashes.collect());
     }
     Ok(())
 }
--- a/packages/turnford-serve/src/crash.rs
+++ b/packages/turnford-serve/src/crash.rs
@@ -1,4 +1,5 @@
-//! What this node knows of requests under which targets crashed, and what it sees of them itself.
+//! Tracks requests during which targets crashed, from this node's calls and from other nodes'
+//! reports.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,106 +19,108 @@
 use turnford_policy::TargetId;
 use turnford_policy::TargetSpec;
 
-use crate::crash_updates::tell_crashes;
-use crate::crash_updates::tell_placers;
-use crate::fanout::NewsQueue;
-use crate::suspect_persistence::forget_cleared;
-use crate::suspect_persistence::keep_crashed;
+use crate::crash_updates::notify_crashes;
+use crate::crash_updates::notify_placers;
+use crate::fanout::UpdateQueue;
+use crate::suspect_persistence::delete_cleared;
+use crate::suspect_persistence::persist_crashed;
 use crate::traffic::Traffic;
 
-/// Time after a call broke in which another start of its target, or the end of its entry, tells that
-/// it crashed: three missed heartbeats, and as long again for the store.
-const BREAK_SPAN: Duration = Duration::from_secs(7);
+/// Time after a broken call in which a restart of its target, or the end of the target's store
+/// entry, is attributed to a crash: three missed heartbeats, and as long again for the store.
+const CRASH_DETECTION_WINDOW: Duration = Duration::from_secs(7);
 
-/// Broken calls that are remembered for that.
-const BREAK_LIMIT: usize = 256;
+/// Maximum number of broken calls that are tracked for that.
+const MAX_BROKEN_CALLS: usize = 256;
 
-/// Targets that left which are remembered: more than leave within the longest stream.
-const LEFT_LIMIT: usize = 256;
+/// Maximum number of departed targets that are remembered: more than leave during the longest
+/// stream.
+const MAX_DEPARTED: usize = 256;
 
-/// A call that broke, and what is to be known if its target crashed.
+/// A broken call, with what has to be recorded if its target turns out to have crashed.
 #[derive(Clone)]
 pub(crate) struct BrokenCall {
     pub(crate) digest: RequestDigest,
     pub(crate) target: TargetSpec,
-    /// Whether it was the only suspect there.
+    /// Whether it was the only suspect at the target.
     pub(crate) is_alone: bool,
-    /// Whether the target had begun to run it, as far as that shows.
+    /// Whether the target had started to run the request, as far as the node can tell.
     pub(crate) has_started: bool,
-    /// When it broke.
+    /// Time at which the call broke.
     pub(crate) at: Moment,
 }
 
-/// The requests under which targets crashed.
+/// The requests during which targets crashed.
 #[derive(Default)]
 pub(crate) struct CrashTracker {
     pub(crate) table: RefCell<CrashTable>,
-    /// News that is not told yet.
-    pub(crate) untold: NewsQueue<CrashUpdate>,
-    /// When a list of all crashes may be sent again.
-    pub(crate) list_after: Cell<Moment>,
-    /// Broken calls whose targets may be found to have crashed.
-    breaks: RefCell<VecDeque<BrokenCall>>,
-    /// Starts of targets that left as planned, the newest last.
-    left: RefCell<VecDeque<(TargetId, ProcessStart)>>,
-    /// Suspects under way at this node.
+    /// Updates that have not been sent to other nodes yet.
+    pub(crate) pending: UpdateQueue<CrashUpdate>,
+    /// Earliest time at which a full snapshot may be sent again.
+    pub(crate) snapshot_after: Cell<Moment>,
+    /// Broken calls whose targets may still turn out to have crashed.
+    broken_calls: RefCell<VecDeque<BrokenCall>>,
+    /// Process starts of targets that left as planned, newest last.
+    departed: RefCell<VecDeque<(TargetId, ProcessStart)>>,
+    /// Number of calls in flight at this node, by suspect.
     running: RefCell<HashMap<RequestDigest, usize>>,
 }
 
 impl CrashTracker {
-    /// Returns what is known of a request.
+    /// Returns the verdict on a request.
     pub(crate) fn verdict(&self, now: Moment, digest: &RequestDigest) -> CrashVerdict {
         self.table.borrow().verdict(now, digest)
     }
 
-    /// Notes that a target's entry went after it said that it leaves.
+    /// Records that the entry of a target disappeared after the target had announced that it
+    /// leaves.
     pub(crate) fn record_departure(&self, target: &TargetSpec) {
-        let mut left = self.left.borrow_mut();
-        if left.len() >= LEFT_LIMIT {
-            left.pop_front();
+        let mut departed = self.departed.borrow_mut();
+        if departed.len() >= MAX_DEPARTED {
+            departed.pop_front();
         }
-        left.push_back((target.id.clone(), target.process_start));
+        departed.push_back((target.id.clone(), target.process_start));
     }
 
-    /// Tells whether a target left as planned.
-    pub(crate) fn has_left(&self, target: &TargetSpec) -> bool {
-        let left = self.left.borrow();
-        let mut left = left.iter();
-        left.any(|(id, born)| *id == target.id && *born == target.process_start)
+    /// Returns whether a target left as planned.
+    pub(crate) fn has_departed(&self, target: &TargetSpec) -> bool {
+        let departed = self.departed.borrow();
+        let mut departed = departed.iter();
+        departed.any(|(id, born)| *id == target.id && *born == target.process_start)
     }
 
-    /// Tells whether a copy of a request is under way at this node.
+    /// Returns whether a copy of a request is in flight at this node.
     pub(crate) fn is_running(&self, digest: &RequestDigest) -> bool {
         self.running.borrow().contains_key(digest)
     }
 
-    /// Keeps a broken call until it shows whether its target crashed.
-    pub(crate) fn keep_break(&self, call: BrokenCall) {
-        let mut breaks = self.breaks.borrow_mut();
-        if breaks.len() >= BREAK_LIMIT {
-            breaks.pop_front();
+    /// Tracks a broken call until it is known whether its target crashed.
+    pub(crate) fn add_broken_call(&self, call: BrokenCall) {
+        let mut broken_calls = self.broken_calls.borrow_mut();
+        if broken_calls.len() >= MAX_BROKEN_CALLS {
+            broken_calls.pop_front();
         }
-        breaks.push_back(call);
+        broken_calls.push_back(call);
     }
 
-    /// Forgets broken calls whose targets did not turn out to have crashed, and returns those that
-    /// did.
+    /// Drops broken calls that are past the detection window, and removes and returns those whose
+    /// targets crashed.
     pub(crate) fn take_crashed(
         &self,
         now: Moment,
         has_ended: impl Fn(&TargetSpec) -> bool,
     ) -> Vec<BrokenCall> {
-        let mut breaks = self.breaks.borrow_mut();
-        breaks.retain(|call| now.saturating_sub(call.at) < BREAK_SPAN);
-        let all = std::mem::take(&mut *breaks).into_iter();
+        let mut broken_calls = self.broken_calls.borrow_mut();
+        broken_calls.retain(|call| now.saturating_sub(call.at) < CRASH_DETECTION_WINDOW);
+        let all = std::mem::take(&mut *broken_calls).into_iter();
         let (ended, open): (VecDeque<BrokenCall>, VecDeque<BrokenCall>) =
             all.partition(|call| has_ended(&call.target));
-        *breaks = open;
+        *broken_calls = open;
         ended.into()
     }
 }
 
-/// Counts a suspect under way at this node until it is dropped.
+/// Counts a suspect as in flight at this node until dropped.
 pub(crate) struct SuspectGuard {
     traffic: Rc<Traffic>,
     digest: RequestDigest,
@@ -147,9 +150,9 @@
     }
 }
 
-/// Notes that a target crashed under a call, and tells the others. A call that had not begun to run,
-/// and was not alone for that, is innocent.
-pub(crate) fn note_crash(traffic: &Rc<Traffic>, call: &BrokenCall, evidence: &str) {
+/// Records that a target crashed during a call and notifies other nodes. A call that shared the
+/// target with others and had not started to run is ruled out as the cause.
+pub(crate) fn record_crash(traffic: &Rc<Traffic>, call: &BrokenCall, evidence: &str) {
     traffic.shared.metrics.target_crashes.inc();
     let (digest, target) = (&call.digest, &call.target);
     log::warn!(
@@ -172,45 +175,46 @@
         is_cleared: false,
     };
     let age = traffic.shared.now().saturating_sub(call.at);
-    note_event(traffic, digest, event, age);
+    record_event(traffic, digest, event, age);
 }
 
-/// Notes that a request ended well, which clears it if targets crashed while they ran it.
+/// Records that a request ended cleanly, which clears it if targets crashed during earlier runs of
+/// it.
 pub(crate) fn record_clean_end(traffic: &Rc<Traffic>, digest: &RequestDigest) {
     if !traffic.crashes.table.borrow().is_empty() {
-        note_event(traffic, digest, CrashEvent::EndedWell, Duration::ZERO);
+        record_event(traffic, digest, CrashEvent::EndedWell, Duration::ZERO);
     }
 }
 
-fn note_event(traffic: &Rc<Traffic>, digest: &RequestDigest, event: CrashEvent, age: Duration) {
+fn record_event(traffic: &Rc<Traffic>, digest: &RequestDigest, event: CrashEvent, age: Duration) {
     let now = traffic.shared.now();
     let crashes = traffic.crashes.table.borrow().crashes(now, digest).count();
     let has_ended_well = event == CrashEvent::EndedWell;
-    let news = CrashUpdate {
+    let update = CrashUpdate {
         digest: digest.0,
         event,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
     };
-    if !take_crash(traffic, &news) {
+    if !apply_crash(traffic, &update) {
         return;
     }
-    tell_placers(traffic, &news);
-    tell_crashes(traffic, vec![news]);
+    notify_placers(traffic, &update);
+    notify_crashes(traffic, vec![update]);
     if has_ended_well {
-        forget_cleared(traffic, *digest, crashes);
+        delete_cleared(traffic, *digest, crashes);
     } else {
-        keep_crashed(traffic, *digest);
+        persist_crashed(traffic, *digest);
     }
 }
 
-/// Takes what happened to a request, and says so if that changes what is thought of it; false if
-/// nothing is new.
-pub(crate) fn take_crash(traffic: &Traffic, news: &CrashUpdate) -> bool {
+/// Applies a crash event and logs it if it changes the verdict on the request. Returns `false` if
+/// the event was known already.
+pub(crate) fn apply_crash(traffic: &Traffic, update: &CrashUpdate) -> bool {
     let now = traffic.shared.now();
-    let digest = RequestDigest(news.digest);
+    let digest = RequestDigest(update.digest);
     let mut table = traffic.crashes.table.borrow_mut();
     let before = table.verdict(now, &digest);
-    if !table.apply(now, news) {
+    if !table.apply(now, update) {
         return false;
     }
     let after = table.verdict(now, &digest);
@@ -232,8 +236,8 @@
             log::info!("asks={digest} is a suspect: alone={is_alone}{crashes}");
         }
         CrashVerdict::Refused(until) => {
-            let span = until.saturating_sub(now).as_secs();
-            log::warn!("asks={digest} crashes targets, refused for {span}s:{crashes}");
+            let seconds = until.saturating_sub(now).as_secs();
+            log::warn!("asks={digest} crashes targets, refused for {seconds}s:{crashes}");
         }
     }
 }
--- a/packages/turnford-serve/src/crash_check.rs
+++ b/packages/turnford-serve/src/crash_check.rs
@@ -1,7 +1,9 @@
-//! Whether a target crashed under a call that broke.
+//! Determines whether a target crashed during a call that broke.
 //!
-//! A reset, a cut answer or silence is no crash. One is known by a refused connection, by another start
-//! in the target's entry, or by the end of that entry; the end of a target that leaves is none.
+//!
+//! A reset, a truncated response or silence is not proof of a crash. Proof is a refused connection,
+//! a different process start in the target's entry, or the removal of that entry. The end of a
+//! target that announced that it leaves does not count.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -13,34 +15,34 @@
 use turnford_policy::RequestDigest;
 use turnford_policy::TargetSpec;
 
-use crate::crash::note_crash;
+use crate::crash::record_crash;
 use crate::crash::BrokenCall;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Longest wait for a target's machine to say that nobody takes connections there. One that ended
-/// says so within a round trip; one that lost power says nothing.
-const PORT_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout for the target's machine to refuse a connection. After a process has ended, its machine
+/// refuses within a round trip; a machine without power does not reply at all.
+const PORT_PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What an entry tells of a crash.
-const OTHER_START: &str = "its entry went or tells of another start";
+/// Evidence given by a target's store entry, as logged.
+const ENTRY_EVIDENCE: &str = "its entry was removed or has another process start";
 
-/// Finds out whether a target crashed under a call that broke, and notes it. `place` is held until
-/// then, so that no other copy is placed before the crash is known.
+/// Checks whether a target crashed during a broken call, and records it. `place` is held until the
+/// check ends, so that no other copy of the request is placed before the crash is known.
 pub(crate) async fn check_broken_call<P>(
     traffic: Rc<Traffic>,
-    desk: Rc<ServiceContext>,
+    context: Rc<ServiceContext>,
     call: BrokenCall,
     place: P,
 ) {
-    check_breaks(&traffic, &desk, vec![call]).await;
+    check_broken_calls(&traffic, &context, vec![call]).await;
     drop(place);
 }
 
-/// Finds out whether a target crashed under a call with the pieces of some requests.
+/// Checks whether a target crashed during a call with the pieces of several requests.
 pub(crate) async fn check_broken_pieces(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     target: &TargetSpec,
     plan: &BatchPlan,
 ) {
@@ -56,51 +58,56 @@
         has_started: true,
         at,
     });
-    check_breaks(traffic, desk, calls.collect()).await;
+    check_broken_calls(traffic, context, calls.collect()).await;
 }
 
-/// Finds out whether a target crashed under some requests, and notes it.
-async fn check_breaks(traffic: &Rc<Traffic>, desk: &Rc<ServiceContext>, calls: Vec<BrokenCall>) {
+/// Checks whether a target crashed during the given calls, which all went to it, and records it.
+async fn check_broken_calls(
+    traffic: &Rc<Traffic>,
+    context: &Rc<ServiceContext>,
+    calls: Vec<BrokenCall>,
+) {
     let Some(target) = calls.first().map(|call| call.target.clone()) else {
         return;
     };
-    // A target that leaves ends as planned, and cuts what it still runs.
+    // A leaving target ends as planned and cuts the calls that it still runs.
     let is_leaving = {
-        let board = desk.targets.borrow();
-        board.get(&target.id).is_some_and(|spec| spec.leaving)
+        let table = context.targets.borrow();
+        table.get(&target.id).is_some_and(|spec| spec.leaving)
     };
-    if is_leaving || traffic.crashes.has_left(&target) {
+    if is_leaving || traffic.crashes.has_departed(&target) {
         return;
     }
-    let port = probe_port(target.address, PORT_LIMIT).await;
+    let port = probe_port(target.address, PORT_PROBE_TIMEOUT).await;
     let now = traffic.shared.now();
     if port == PortState::Refused {
-        desk.targets.borrow_mut().record_refusal(now, &target.id);
+        context.targets.borrow_mut().record_refusal(now, &target.id);
     }
     for call in calls {
         if port == PortState::Refused {
-            note_crash(traffic, &call, "no connection is taken");
-        } else if is_other_start(desk, &target) {
-            note_crash(traffic, &call, OTHER_START);
+            record_crash(traffic, &call, "its port refuses connections");
+        } else if has_restarted(context, &target) {
+            record_crash(traffic, &call, ENTRY_EVIDENCE);
         } else {
-            traffic.crashes.keep_break(call);
+            traffic.crashes.add_broken_call(call);
         }
     }
 }
 
-/// Notes crashes that a service's new list of targets shows.
-pub(crate) fn check_restarts(traffic: &Rc<Traffic>, desk: &ServiceContext) {
+/// Records the crashes that a new target list of a service reveals.
+pub(crate) fn check_restarts(traffic: &Rc<Traffic>, context: &ServiceContext) {
     let now = traffic.shared.now();
-    let service = desk.spec.borrow().name.clone();
-    let has_ended = |target: &TargetSpec| target.service == service && is_other_start(desk, target);
+    let service = context.spec.borrow().name.clone();
+    let has_ended =
+        |target: &TargetSpec| target.service == service && has_restarted(context, target);
     for call in traffic.crashes.take_crashed(now, has_ended) {
-        note_crash(traffic, &call, OTHER_START);
+        record_crash(traffic, &call, ENTRY_EVIDENCE);
     }
 }
 
-/// Tells whether a target's process is known to have ended since a call was made, unplanned.
-fn is_other_start(desk: &ServiceContext, target: &TargetSpec) -> bool {
-    let board = desk.targets.borrow();
-    let listed = board.get(&target.id);
+/// Returns whether the target's process is known to have ended unplanned since the call was made.
+fn has_restarted(context: &ServiceContext, target: &TargetSpec) -> bool {
+    let table = context.targets.borrow();
+    let listed = table.get(&target.id);
     listed.is_none_or(|listed| listed.process_start != target.process_start && !target.leaving)
 }
--- a/packages/turnford-serve/src/crash_updates.rs
+++ b/packages/turnford-serve/src/crash_updates.rs
@@ -1,8 +1,10 @@
-//! How nodes tell each other of requests under which targets crashed, without the store.
+//! Exchanges crash records between nodes without the store.
 //!
-//! A node that learns of a crash tells some others at once, which tell some others. Beside that, nodes
-//! that know of crashes compare what they know, so that one that missed news learns it, and a node
-//! that starts asks before it says that it is ready.
+//!
+//! A node that learns of a crash immediately notifies a sample of other nodes, which forward the
+//! update. In addition, nodes that know of crashes periodically compare checksums, so that a node
+//! that missed an update catches up. A starting node requests a snapshot before it reports itself
+//! ready.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -18,166 +20,174 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::crash::take_crash;
+use crate::crash::apply_crash;
 use crate::fanout::notify_peers;
 use crate::fanout::notify_sample;
 use crate::fanout::ANSWER_LIMIT;
-use crate::suspect_persistence::take_kept;
+use crate::suspect_persistence::apply_stored;
 use crate::traffic::Traffic;
 
-/// Time in which news is gathered: neighbours at one target are found out together.
-const GATHER_PAUSE: Duration = Duration::from_millis(5);
+/// Time for which updates are batched: crashes of requests that shared a target are detected
+/// together.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Most news told at once: some 5 KB. Of more, what was learned on trial goes first; the rest is
-/// learned by comparing.
-const NEWS_LIMIT: usize = 64;
+/// Maximum number of updates in one message, about 5 KB. Beyond it, crashes on trial take
+/// precedence; the remaining ones reach other nodes through the periodic sync.
+const MAX_UPDATES: usize = 64;
 
-/// Pause between two comparisons with another node: news that was missed is known within some
-/// seconds, for a hundred bytes a second.
-const COMPARE_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between syncs with another node. A missed update arrives within a few seconds, at a
+/// cost of about a hundred bytes a second.
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Crashes that a node lists for others a second, but for those that start: some 1 KB, where nodes
-/// keep disagreeing.
-const LIST_RATE: f64 = 25.0;
+/// Crashes that a node sends in snapshots per second, except to starting nodes: about 1 KB a second
+/// while nodes keep disagreeing.
+const SNAPSHOT_RATE: f64 = 25.0;
 
-/// Nodes that one which starts asks at most; those that ended may still be listed.
-const START_TRIES: usize = 3;
+/// Maximum number of nodes that a starting node asks; nodes that have ended may still be listed.
+const MAX_START_PEERS: usize = 3;
 
-/// Pause between looks whether the other nodes are known.
-const START_PAUSE: Duration = Duration::from_millis(10);
+/// Interval for polling whether the other nodes are known.
+const MEMBER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Tells some other nodes soon.
-pub(crate) fn tell_crashes(traffic: &Rc<Traffic>, news: Vec<CrashUpdate>) {
-    if traffic.crashes.untold.add(news) {
-        let tell = tell_untold(traffic.clone());
-        traffic.executor.spawn(tell).detach();
+/// Notifies a sample of other nodes after a short batching delay.
+pub(crate) fn notify_crashes(traffic: &Rc<Traffic>, updates: Vec<CrashUpdate>) {
+    if traffic.crashes.pending.add(updates) {
+        let send = send_pending(traffic.clone());
+        traffic.executor.spawn(send).detach();
     }
 }
 
-/// Tells the nodes that place what happened at this one. They decide whether the next copy runs, and other
-/// ways of the news may be slower or lose it.
-pub(crate) fn tell_placers(traffic: &Rc<Traffic>, news: &CrashUpdate) {
-    let request = WorkRequest::Crashes(vec![news.clone()]);
-    let told = traffic.clone();
-    // A crash may be found while the services are being changed, when they can't be listed.
-    let tell = async move {
-        let desks = told.all_services();
-        let placers: BTreeSet<SocketAddr> = desks
+/// Notifies the placing nodes of a crash. They decide whether the next copy runs, and other paths
+/// of the update may be slower or lose it.
+pub(crate) fn notify_placers(traffic: &Rc<Traffic>, update: &CrashUpdate) {
+    let request = WorkRequest::Crashes(vec![update.clone()]);
+    let owned = traffic.clone();
+    // A crash can be detected while the services are being replaced, when they can't be listed.
+    let send = async move {
+        let services = owned.all_services();
+        let placers: BTreeSet<SocketAddr> = services
             .iter()
-            .filter_map(|desk| desk.limits.placer())
+            .filter_map(|context| context.limits.placer())
             .collect();
-        notify_peers(&told.peers, placers, &request);
+        notify_peers(&owned.peers, placers, &request);
     };
-    traffic.executor.spawn(tell).detach();
+    traffic.executor.spawn(send).detach();
 }
 
-async fn tell_untold(traffic: Rc<Traffic>) {
-    Timer::after(GATHER_PAUSE).await;
-    let mut news = traffic.crashes.untold.take();
-    news.sort_by_key(|news| match news.event {
+async fn send_pending(traffic: Rc<Traffic>) {
+    Timer::after(BATCH_DELAY).await;
+    let mut updates = traffic.crashes.pending.take();
+    updates.sort_by_key(|update| match update.event {
         CrashEvent::Crashed { part, .. } => Reverse(Some(part)),
         CrashEvent::EndedWell => Reverse(None),
     });
-    if news.len() > NEWS_LIMIT {
-        let left = news.len() - NEWS_LIMIT;
-        log::warn!("{left} news of crashes left out, others learn them by comparing");
-        news.truncate(NEWS_LIMIT);
+    if updates.len() > MAX_UPDATES {
+        let omitted = updates.len() - MAX_UPDATES;
+        log::warn!(
+            "crash updates left out of a message, to be sent by the periodic sync: {omitted}"
+        );
+        updates.truncate(MAX_UPDATES);
     }
-    // One that does not hear it learns it by comparing.
-    notify_sample(&traffic.peers, &WorkRequest::Crashes(news));
+    // A node that misses the message catches up by the periodic sync.
+    notify_sample(&traffic.peers, &WorkRequest::Crashes(updates));
 }
 
-/// Takes another node's news, and passes on what is new.
-pub(crate) fn answer_crashes(traffic: &Rc<Traffic>, news: Vec<CrashUpdate>) -> WorkReply {
-    let new = news.into_iter().filter(|news| take_crash(traffic, news));
+/// Applies another node's updates and forwards those that are new.
+pub(crate) fn answer_crashes(traffic: &Rc<Traffic>, updates: Vec<CrashUpdate>) -> WorkReply {
+    let new = updates
+        .into_iter()
+        .filter(|update| apply_crash(traffic, update));
     let new: Vec<CrashUpdate> = new.collect();
     if !new.is_empty() {
-        tell_crashes(traffic, new);
+        notify_crashes(traffic, new);
     }
     WorkReply::Ack
 }
 
-/// Answers a node that compares what it knows.
+/// Answers the checksum comparison of another node.
 pub(crate) fn answer_crash_sync(traffic: &Traffic, sum: u64, is_new: bool) -> WorkReply {
     let own = traffic.crashes.table.borrow().checksum();
     let updates = if own == sum {
         Vec::new()
     } else {
-        list_crashes(traffic, is_new)
+        snapshot_crashes(traffic, is_new)
     };
     WorkReply::Crashes { sum: own, updates }
 }
 
-/// Returns all crashes for another node; none if the last such list is not long enough ago, unless
-/// the other one has just started.
-fn list_crashes(traffic: &Traffic, is_new: bool) -> Vec<CrashUpdate> {
+/// Returns a snapshot of all crashes for another node. It is empty while the rate limit is
+/// exceeded, unless the other node has just started.
+fn snapshot_crashes(traffic: &Traffic, is_new: bool) -> Vec<CrashUpdate> {
     let now = traffic.shared.now();
-    if !is_new && now < traffic.crashes.list_after.get() {
+    if !is_new && now < traffic.crashes.snapshot_after.get() {
         return Vec::new();
     }
-    let news = traffic.crashes.table.borrow().snapshot(now);
-    let pause = Duration::from_secs_f64(news.len() as f64 / LIST_RATE);
-    traffic.crashes.list_after.set(now + pause);
-    news
+    let updates = traffic.crashes.table.borrow().snapshot(now);
+    let pause = Duration::from_secs_f64(updates.len() as f64 / SNAPSHOT_RATE);
+    traffic.crashes.snapshot_after.set(now + pause);
+    updates
 }
 
-/// Compares what this node knows with what others know, for as long as the node runs.
-pub(crate) async fn compare_crashes(traffic: Rc<Traffic>) {
+/// Periodically syncs crash records with other nodes, for as long as the node runs.
+pub(crate) async fn sync_crashes(traffic: Rc<Traffic>) {
     loop {
-        Timer::after(COMPARE_PAUSE).await;
-        take_kept(&traffic);
-        note_gauges(&traffic);
+        Timer::after(SYNC_INTERVAL).await;
+        apply_stored(&traffic);
+        update_gauges(&traffic);
         if traffic.crashes.table.borrow().is_empty() {
-            // One that knows more asks this node.
+            // Nodes that know of crashes contact this one.
             continue;
         }
         for peer in traffic.peers.sample(1) {
-            compare_with(&traffic, peer, false).await;
+            sync_with(&traffic, peer, false).await;
         }
     }
 }
 
-fn note_gauges(traffic: &Traffic) {
+fn update_gauges(traffic: &Traffic) {
     let table = traffic.crashes.table.borrow();
     let metrics = &traffic.shared.metrics;
     metrics.suspects.set(table.len() as u64);
     metrics.crashing.set(table.refused_count() as u64);
 }
 
-/// Compares with one node, takes what it tells and tells it what it does not know; true if it
-/// answered.
-async fn compare_with(traffic: &Rc<Traffic>, peer: SocketAddr, is_new: bool) -> bool {
+/// Syncs with one node in both directions. Returns `false` if it did not reply.
+async fn sync_with(traffic: &Rc<Traffic>, peer: SocketAddr, is_new: bool) -> bool {
     let sum = traffic.crashes.table.borrow().checksum();
     let request = WorkRequest::CrashSync { sum, is_new };
     let reply = traffic.peers.call(peer, &request, ANSWER_LIMIT).await;
     let Some(WorkReply::Crashes { sum, updates }) = reply else {
         return false;
     };
-    for news in &updates {
-        take_crash(traffic, news);
+    for update in &updates {
+        apply_crash(traffic, update);
     }
     if traffic.crashes.table.borrow().checksum() != sum {
-        let news = list_crashes(traffic, false);
-        if !news.is_empty() {
+        let snapshot = snapshot_crashes(traffic, false);
+        if !snapshot.is_empty() {
             traffic
                 .peers
-                .call(peer, &WorkRequest::Crashes(news), ANSWER_LIMIT)
+                .call(peer, &WorkRequest::Crashes(snapshot), ANSWER_LIMIT)
                 .await;
         }
     }
     true
 }
 
-/// Asks another node which requests crash targets, so that a node that starts does not run them.
-pub(crate) async fn learn_crashes(traffic: Rc<Traffic>) {
+/// Requests crash records from another node, so that a starting node does not run requests that are
+/// known to crash targets.
+pub(crate) async fn pull_initial_crashes(traffic: Rc<Traffic>) {
     while !traffic.shared.has_asked_members.load(Ordering::SeqCst) {
-        Timer::after(START_PAUSE).await;
+        Timer::after(MEMBER_POLL_INTERVAL).await;
     }
-    take_kept(&traffic);
-    for peer in traffic.peers.sample(START_TRIES) {
-        if compare_with(&traffic, peer, true).await {
+    apply_stored(&traffic);
+    for peer in traffic.peers.sample(MAX_START_PEERS) {
+        if sync_with(&traffic, peer, true).await {
             break;
         }
     }
-    traffic.shared.knows_crashes.store(true, Ordering::SeqCst);
+    traffic
+        .shared
+        .has_crash_snapshot
+        .store(true, Ordering::SeqCst);
 }
--- a/packages/turnford-serve/src/fanout.rs
+++ b/packages/turnford-serve/src/fanout.rs
@@ -1,4 +1,5 @@
-//! News between traffic threads: each node tells some others, which tell some others.
+//! Dissemination of updates between traffic threads: each node notifies a sample of other nodes,
+//! which forward what is new to them.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,58 +10,60 @@
 
 use crate::peers::PeerPool;
 
-/// Nodes that each node tells of what is new to it: a few rounds reach nearly all of a large fleet.
-const NEWS_FANOUT: usize = 6;
+/// Number of nodes that a node notifies of an update; a few rounds reach nearly all of a large
+/// fleet.
+const UPDATE_FANOUT: usize = 6;
 
-/// Longest wait for another node's answer.
+/// Timeout for another node's reply.
 pub(crate) const ANSWER_LIMIT: Duration = Duration::from_millis(300);
 
-/// News that is not told yet.
-pub(crate) struct NewsQueue<T> {
-    news: RefCell<Vec<T>>,
+/// Updates that have not been sent yet.
+pub(crate) struct UpdateQueue<T> {
+    updates: RefCell<Vec<T>>,
 }
 
-impl<T> Default for NewsQueue<T> {
+impl<T> Default for UpdateQueue<T> {
     fn default() -> Self {
         Self {
-            news: RefCell::default(),
+            updates: RefCell::default(),
         }
     }
 }
 
-impl<T> NewsQueue<T> {
-    /// Adds news; true if there was none, so that it is to be told soon.
-    pub(crate) fn add(&self, news: Vec<T>) -> bool {
-        let mut untold = self.news.borrow_mut();
-        let is_first = untold.is_empty();
-        untold.extend(news);
+impl<T> UpdateQueue<T> {
+    /// Adds updates. Returns `true` if the queue was empty, in which case the caller has to
+    /// schedule a send.
+    pub(crate) fn add(&self, updates: Vec<T>) -> bool {
+        let mut pending = self.updates.borrow_mut();
+        let is_first = pending.is_empty();
+        pending.extend(updates);
         is_first
     }
 
-    /// Takes all news.
+    /// Removes and returns all updates.
     pub(crate) fn take(&self) -> Vec<T> {
-        self.news.take()
+        self.updates.take()
     }
 }
 
-/// Tells some other nodes.
+/// Notifies a random sample of other nodes.
 pub(crate) fn notify_sample(peers: &Rc<PeerPool>, request: &WorkRequest) {
-    notify_peers(peers, peers.sample(NEWS_FANOUT), request);
+    notify_peers(peers, peers.sample(UPDATE_FANOUT), request);
 }
 
-/// Tells these nodes; the news of one that does not answer is lost to it.
+/// Notifies the given nodes. There is no retry for a node that does not reply.
 pub(crate) fn notify_peers(
     peers: &Rc<PeerPool>,
-    told: impl IntoIterator<Item = SocketAddr>,
+    receivers: impl IntoIterator<Item = SocketAddr>,
     request: &WorkRequest,
 ) {
-    for peer in told {
+    for peer in receivers {
         let peers = peers.clone();
         let request = request.clone();
         let executor = peers.executor.clone();
-        let tell = async move {
+        let send = async move {
             peers.call(peer, &request, ANSWER_LIMIT).await;
         };
-        executor.spawn(tell).detach();
+        executor.spawn(send).detach();
     }
 }
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -23,7 +23,7 @@
 use crate::call::CallPurpose;
 use crate::fanout::notify_peers;
 use crate::fanout::notify_sample;
-use crate::fanout::NewsQueue;
+use crate::fanout::UpdateQueue;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
@@ -46,7 +46,7 @@
 const ANSWER_LIMIT: usize = 16 * 1024;
 
 /// Words of targets that are not told yet.
-pub(crate) type LeavingQueue = NewsQueue<LeavingUpdate>;
+pub(crate) type LeavingQueue = UpdateQueue<LeavingUpdate>;
 
 /// Notes that a target said in an answer to this node that it leaves, and tells others.
 pub(crate) fn process_leaving(
@@ -89,12 +89,12 @@
 
 fn tell_leaving(traffic: &Rc<Traffic>, news: Vec<LeavingUpdate>) {
     if traffic.leaving.add(news) {
-        let tell = tell_untold(traffic.clone());
+        let tell = send_pending(traffic.clone());
         traffic.executor.spawn(tell).detach();
     }
 }
 
-async fn tell_untold(traffic: Rc<Traffic>) {
+async fn send_pending(traffic: Rc<Traffic>) {
     Timer::after(GATHER_PAUSE).await;
     let news = traffic.leaving.take();
     for part in news.chunks(NEWS_LIMIT) {
--- a/packages/turnford-serve/src/node.rs
+++ b/packages/turnford-serve/src/node.rs
@@ -28,14 +28,14 @@
 use crate::accept::handle_client;
 use crate::control::run_control;
 use crate::control::ControlListeners;
-use crate::crash_updates::compare_crashes;
-use crate::crash_updates::learn_crashes;
+use crate::crash_updates::pull_initial_crashes;
+use crate::crash_updates::sync_crashes;
 use crate::leaving::ask_leaving;
 use crate::limit_sync::follow_limits;
 use crate::metrics::ServeMetrics;
 use crate::shared::RouteView;
 use crate::shared::ServeShared;
-use crate::suspect_channel::KeptSuspects;
+use crate::suspect_channel::SuspectChannel;
 use crate::traffic::close_idle_connections;
 use crate::traffic::follow_changes;
 use crate::traffic::Traffic;
@@ -93,9 +93,9 @@
             stop_begun: AtomicU64::new(0),
             turns: ThreadHeartbeat::default(),
             has_asked_members: AtomicBool::new(false),
-            knows_crashes: AtomicBool::new(false),
+            has_crash_snapshot: AtomicBool::new(false),
             knows_view: AtomicBool::new(false),
-            kept: KeptSuspects::default(),
+            suspects: SuspectChannel::default(),
             has_slept: AtomicBool::new(false),
             running: AtomicU64::new(0),
             metrics: ServeMetrics::new(),
@@ -243,8 +243,10 @@
     executor
         .spawn(serve_work(traffic.clone(), listeners.work))
         .detach();
-    executor.spawn(learn_crashes(traffic.clone())).detach();
-    executor.spawn(compare_crashes(traffic.clone())).detach();
+    executor
+        .spawn(pull_initial_crashes(traffic.clone()))
+        .detach();
+    executor.spawn(sync_crashes(traffic.clone())).detach();
     executor.spawn(ask_leaving(traffic.clone())).detach();
     executor.spawn(follow_limits(traffic.clone())).detach();
     let listener = listeners.listener;
--- a/packages/turnford-serve/src/shared.rs
+++ b/packages/turnford-serve/src/shared.rs
@@ -23,7 +23,7 @@
 use turnford_policy::ThreadHeartbeat;
 
 use crate::metrics::ServeMetrics;
-use crate::suspect_channel::KeptSuspects;
+use crate::suspect_channel::SuspectChannel;
 
 /// Least number of nodes that shares of fleet-wide limits are reckoned with, so that a node that
 /// knows nobody yet does not take the limit for its own.
@@ -97,14 +97,14 @@
     /// Whether the store was asked for the other nodes, with whatever success.
     pub(crate) has_asked_members: AtomicBool,
     /// Whether another node told which requests crash targets, or there is none to ask.
-    pub(crate) knows_crashes: AtomicBool,
+    pub(crate) has_crash_snapshot: AtomicBool,
     /// Whether another node told what it knows of the configuration and the targets, or there is none to
     /// ask. What the store holds may be older.
     pub(crate) knows_view: AtomicBool,
     /// Whether the machine was suspended and nothing has confirmed since what this node knows.
     pub(crate) has_slept: AtomicBool,
     /// Requests under which targets crashed, as they are kept in the store.
-    pub(crate) kept: KeptSuspects,
+    pub(crate) suspects: SuspectChannel,
     /// Requests under way.
     pub(crate) running: AtomicU64,
     pub(crate) metrics: ServeMetrics,
@@ -176,8 +176,8 @@
 
     /// Tells whether new connections should come to this node.
     pub(crate) fn is_ready(&self) -> bool {
-        let has_asked =
-            self.knows_crashes.load(Ordering::SeqCst) && self.knows_view.load(Ordering::SeqCst);
+        let has_asked = self.has_crash_snapshot.load(Ordering::SeqCst)
+            && self.knows_view.load(Ordering::SeqCst);
         let is_awake = !self.has_slept.load(Ordering::SeqCst);
         let is_complete = has_asked && is_awake && self.view.load().is_complete();
         !self.is_draining() && is_complete && self.turns.is_alive(self.now())
--- a/packages/turnford-serve/src/suspect_channel.rs
+++ b/packages/turnford-serve/src/suspect_channel.rs
@@ -1,5 +1,5 @@
-//! What the traffic thread and the control thread tell each other of requests that are kept in the store, since
-//! targets crashed under them more than once.
+//! Channel between the traffic thread and the control thread for stored suspects: requests that are
+//! stored because targets crashed during them more than once.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -10,55 +10,55 @@
 use turnford_fleet::CrashUpdate;
 use turnford_policy::RequestDigest;
 
-/// Orders that may wait for the control thread; each is a call to the store.
-const ORDER_LIMIT: usize = 64;
+/// Maximum number of commands queued for the control thread; each is a call to the store.
+const COMMAND_LIMIT: usize = 64;
 
-/// What the control thread is to do with a kept request.
-pub(crate) enum KeepOrder {
-    /// Write what is known of it.
-    Keep(RequestDigest, Vec<CrashUpdate>),
-    /// Remove it: it ended well.
-    Forget(RequestDigest),
+/// A change of a stored suspect, carried out by the control thread.
+pub(crate) enum SuspectCommand {
+    /// Writes the crashes of a request.
+    Store(RequestDigest, Vec<CrashUpdate>),
+    /// Removes a request that ended cleanly.
+    Delete(RequestDigest),
 }
 
-/// What the traffic thread and the control thread tell each other of kept requests.
-pub(crate) struct KeptSuspects {
-    orders: (Sender<KeepOrder>, Receiver<KeepOrder>),
-    learned: Mutex<Vec<CrashUpdate>>,
+/// Commands to the control thread, and the crashes that it loaded from the store.
+pub(crate) struct SuspectChannel {
+    commands: (Sender<SuspectCommand>, Receiver<SuspectCommand>),
+    stored: Mutex<Vec<CrashUpdate>>,
 }
 
-impl Default for KeptSuspects {
+impl Default for SuspectChannel {
     fn default() -> Self {
         Self {
-            orders: async_channel::bounded(ORDER_LIMIT),
-            learned: Mutex::default(),
+            commands: async_channel::bounded(COMMAND_LIMIT),
+            stored: Mutex::default(),
         }
     }
 }
 
-impl KeptSuspects {
-    /// Returns the next order, once there is one.
-    pub(crate) async fn next_order(&self) -> Option<KeepOrder> {
-        self.orders.1.recv().await.ok()
+impl SuspectChannel {
+    /// Waits for the next command.
+    pub(crate) async fn next_command(&self) -> Option<SuspectCommand> {
+        self.commands.1.recv().await.ok()
     }
 
-    /// Notes what the store holds.
-    pub(crate) fn note_learned(&self, news: Vec<CrashUpdate>) {
-        let mut learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
-        learned.extend(news);
+    /// Adds crashes that were loaded from the store.
+    pub(crate) fn add_stored(&self, crashes: Vec<CrashUpdate>) {
+        let mut stored = self.stored.lock().unwrap_or_else(PoisonError::into_inner);
+        stored.extend(crashes);
     }
 
-    /// Takes what the store held.
-    pub(crate) fn take_learned(&self) -> Vec<CrashUpdate> {
-        let mut learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
-        std::mem::take(&mut *learned)
+    /// Removes and returns the crashes that were loaded from the store.
+    pub(crate) fn take_stored(&self) -> Vec<CrashUpdate> {
+        let mut stored = self.stored.lock().unwrap_or_else(PoisonError::into_inner);
+        std::mem::take(&mut *stored)
     }
 
-    /// Has the control thread do something.
-    pub(crate) fn order(&self, order: KeepOrder) {
-        if self.orders.0.try_send(order).is_err() {
+    /// Queues a command for the control thread.
+    pub(crate) fn send(&self, command: SuspectCommand) {
+        if self.commands.0.try_send(command).is_err() {
             log::warn!(
-                "a request that crashes targets is not kept: {ORDER_LIMIT} wait for the store"
+                "a suspect is not stored: {COMMAND_LIMIT} commands are queued for the store"
             );
         }
     }
--- a/packages/turnford-serve/src/suspect_persistence.rs
+++ b/packages/turnford-serve/src/suspect_persistence.rs
@@ -1,5 +1,5 @@
-//! Requests under which targets crashed more than once are kept in the store: where all nodes end together,
-//! those that start know of them, and don't have them crash as many targets again.
+//! Stores requests during which targets crashed more than once. If all nodes end together, the
+//! nodes that start afterwards load them and don't let them crash as many targets again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,41 +8,46 @@
 
 use turnford_policy::RequestDigest;
 
-use crate::crash::take_crash;
-use crate::suspect_channel::KeepOrder;
+use crate::crash::apply_crash;
+use crate::suspect_channel::SuspectCommand;
 use crate::traffic::Traffic;
 
-/// Crashes from which on a request is kept: one tells too little, and has many neighbours.
-const LEAST_CRASHES: usize = 2;
-
-/// Time after a crash until it is kept: crashes of a group that lost power are known by then, and tell
-/// nothing of a request.
-const SETTLE_PAUSE: Duration = Duration::from_millis(200);
-
-/// Has a request kept under which this node saw a target crash, if that was not the first.
-pub(crate) fn keep_crashed(traffic: &Rc<Traffic>, digest: RequestDigest) {
-    let keeper = traffic.clone();
-    let keep = async move {
-        Timer::after(SETTLE_PAUSE).await;
-        let now = keeper.shared.now();
-        let news = keeper.crashes.table.borrow().updates_for(now, &digest);
-        if news.len() >= LEAST_CRASHES {
-            keeper.shared.kept.order(KeepOrder::Keep(digest, news));
+/// Crashes from which on a request is stored. A single crash is weak evidence and implicates every
+/// request that shared the target.
+const MIN_CRASHES: usize = 2;
+
+/// Delay between a crash and its write to the store. By then the crashes of a group that lost power
+/// are known, which are no evidence against a request.
+const SETTLE_DELAY: Duration = Duration::from_millis(200);
+
+/// Schedules the write of a request during which this node saw a target crash, if that was not its
+/// first crash.
+pub(crate) fn persist_crashed(traffic: &Rc<Traffic>, digest: RequestDigest) {
+    let owned = traffic.clone();
+    let store = async move {
+        Timer::after(SETTLE_DELAY).await;
+        let now = owned.shared.now();
+        let updates = owned.crashes.table.borrow().updates_for(now, &digest);
+        if updates.len() >= MIN_CRASHES {
+            owned
+                .shared
+                .suspects
+                .send(SuspectCommand::Store(digest, updates));
         }
     };
-    traffic.executor.spawn(keep).detach();
+    traffic.executor.spawn(store).detach();
 }
 
-/// Has a request removed that had been kept, and ended well.
-pub(crate) fn forget_cleared(traffic: &Traffic, digest: RequestDigest, crashes: usize) {
-    if crashes >= LEAST_CRASHES {
-        traffic.shared.kept.order(KeepOrder::Forget(digest));
+/// Schedules the removal of a stored request that ended cleanly.
+pub(crate) fn delete_cleared(traffic: &Traffic, digest: RequestDigest, crashes: usize) {
+    if crashes >= MIN_CRASHES {
+        traffic.shared.suspects.send(SuspectCommand::Delete(digest));
     }
 }
 
-/// Takes what the control thread learned from the store.
-pub(crate) fn take_kept(traffic: &Traffic) {
-    for news in traffic.shared.kept.take_learned() {
-        take_crash(traffic, &news);
+/// Applies the crashes that the control thread loaded from the store.
+pub(crate) fn apply_stored(traffic: &Traffic) {
+    for update in traffic.shared.suspects.take_stored() {
+        apply_crash(traffic, &update);
     }
 }
--- a/packages/turnford-serve/src/trial.rs
+++ b/packages/turnford-serve/src/trial.rs
@@ -1,4 +1,5 @@
-//! Requests under which targets crashed run one at a time in the whole fleet, placed by one node.
+//! Trials of suspects: requests during which targets crashed run one at a time in the whole fleet,
+//! placed by a single node.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,46 +20,46 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Longest time for which a suspect waits for another copy of it: most have ended or crashed their
-/// target by then.
+/// Maximum time for which a suspect waits for another copy of itself. By then most copies have
+/// ended or crashed their target.
 pub(crate) const SUSPECT_WAIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause between looks whether a suspect may run.
+/// Interval for polling whether a suspect may run.
 pub(crate) const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time to come back to a request of which another copy is on trial: most streams have ended by then.
-pub(crate) const TRIAL_SPAN: Duration = Duration::from_secs(1);
+/// Retry delay for a request of which another copy is on trial: most streams have ended by then.
+pub(crate) const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Where a request may run, by what this node knows.
+/// Placement of a request, subject to its verdict.
 pub(crate) enum CheckedPlacement {
-    /// What targets there are for it.
+    /// The placement, for a request that may run.
     Found {
         place: LimitedPlacement,
-        /// Whether it is the only suspect there.
+        /// Whether it is the only suspect at its target.
         is_alone: bool,
     },
     /// Another copy of it is on trial.
     Held,
-    /// It crashes targets, and is refused for so long.
+    /// It crashes targets and is refused for the given time.
     Refused(Duration),
 }
 
-/// Why a request is not run that may crash targets.
+/// Reason for which a suspect is refused.
 pub(crate) struct SuspectRefusal {
     pub(crate) code: ResultCode,
     pub(crate) retry_after: Duration,
 }
 
 impl SuspectRefusal {
-    /// Makes the refusal of a request of which another copy is on trial.
+    /// Creates the refusal of a request of which another copy is on trial.
     pub(crate) fn on_trial() -> Self {
         Self {
             code: ResultCode::OnTrial,
-            retry_after: TRIAL_SPAN,
+            retry_after: TRIAL_RETRY_AFTER,
         }
     }
 
-    /// Makes the refusal of a request that crashes targets.
+    /// Creates the refusal of a request that crashes targets.
     pub(crate) fn crashes_targets(retry_after: Duration) -> Self {
         Self {
             code: ResultCode::CrashesTargets,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Returns the reason as the client gets it.
+    /// Returns the reason as it is sent to the client.
     pub(crate) fn reason(&self) -> &'static str {
         if self.code == ResultCode::OnTrial {
             return "a target crashed while it ran such a request, and another copy is being tried";
@@ -75,12 +76,14 @@
     }
 }
 
-/// Lets a request pass that no target crashed under. A suspect waits until no other copy of it is
-/// under way at this node, so that the stages of those that can't run aren't made in vain.
+/// Admits a request that is not a suspect at once. A suspect waits until no other copy of it is in
+/// flight at this node, so that no stages are run for copies that can't be served.
+///
 ///
 /// # Errors
 ///
-/// Returns why it is refused.
+///
+/// Returns the refusal of a request that crashes targets, or of which another copy is on trial.
 pub(crate) async fn admit_suspect(
     traffic: &Rc<Traffic>,
     record: &RequestRecord,
@@ -106,21 +109,22 @@
     }
 }
 
-/// Places a request by what this node knows, a suspect only where no other copy of it runs.
+/// Places a request with this node's knowledge. A suspect is placed only if no other copy of it
+/// runs.
 pub(crate) fn place_checked(
     traffic: &Traffic,
-    desk: &ServiceContext,
+    context: &ServiceContext,
     digest: RequestDigest,
-    need: &PlacementRequest,
-    turn: &QueuedRequest,
+    request: &PlacementRequest,
+    queued: &QueuedRequest,
 ) -> CheckedPlacement {
     let now = traffic.shared.now();
     let verdict = traffic.crashes.verdict(now, &digest);
-    let mut trials = desk.trials.borrow_mut();
+    let mut trials = context.trials.borrow_mut();
     let (is_alone, taken) = match trials.admit(now, &digest, verdict) {
         TrialAdmission::Unrestricted => {
             return CheckedPlacement::Found {
-                place: place_limited(traffic, desk, need, turn),
+                place: place_limited(traffic, context, request, queued),
                 is_alone: false,
             }
         }
@@ -131,12 +135,18 @@
         TrialAdmission::OnTrial { is_alone, taken } => (is_alone, taken),
     };
     let is_any_taken = !taken.is_empty();
-    let mut need = need.clone();
-    need.tried.extend(taken);
-    let place = place_limited(traffic, desk, &need, turn);
+    let mut request = request.clone();
+    request.tried.extend(taken);
+    let place = place_limited(traffic, context, &request, queued);
     match &place {
         LimitedPlacement::Assigned { target, ticket, .. } => {
-            trials.start(*ticket, digest, target.id.clone(), is_alone, need.deadline);
+            trials.start(
+                *ticket,
+                digest,
+                target.id.clone(),
+                is_alone,
+                request.deadline,
+            );
         }
         LimitedPlacement::NoTarget if is_any_taken => return CheckedPlacement::Held,
         LimitedPlacement::NoTarget | LimitedPlacement::Wait(_) | LimitedPlacement::Full(_) => {}
