--- a/packages/turnford-serve/src/batching.rs
+++ b/packages/turnford-serve/src/batching.rs
@@ -136,7 +136,7 @@
             released,
         })) if results.len() == works.len() => {
             let now = traffic.shared.now();
-            state.heard.set(now);
+            state.last_contact.set(now);
             place.desk.note_waits(now, place.number, &waits);
             let results = results.into_iter();
             let outcomes = results.map(|end| outcome_of(place, peer, end)).collect();
--- a/packages/turnford-serve/src/crash_updates.rs
+++ b/packages/turnford-serve/src/crash_updates.rs
@@ -23,7 +23,7 @@
 use crate::crash::apply_crash;
 use crate::fanout::notify_peers;
 use crate::fanout::notify_sample;
-use crate::fanout::ANSWER_LIMIT;
+use crate::fanout::REPLY_TIMEOUT;
 use crate::suspect_persistence::apply_stored;
 use crate::traffic::Traffic;
 
@@ -155,7 +155,7 @@
 async fn sync_with(traffic: &Rc<Traffic>, peer: SocketAddr, is_new: bool) -> bool {
     let sum = traffic.crashes.table.borrow().checksum();
     let request = WorkRequest::CrashSync { sum, is_new };
-    let reply = traffic.peers.call(peer, &request, ANSWER_LIMIT).await;
+    let reply = traffic.peers.call(peer, &request, REPLY_TIMEOUT).await;
     let Some(WorkReply::Crashes { sum, updates }) = reply else {
         return false;
     };
@@ -167,7 +167,7 @@
         if !snapshot.is_empty() {
             traffic
                 .peers
-                .call(peer, &WorkRequest::Crashes(snapshot), ANSWER_LIMIT)
+                .call(peer, &WorkRequest::Crashes(snapshot), REPLY_TIMEOUT)
                 .await;
         }
     }
--- a/packages/turnford-serve/src/fanout.rs
+++ b/packages/turnford-serve/src/fanout.rs
@@ -15,7 +15,7 @@
 const UPDATE_FANOUT: usize = 6;
 
 /// Timeout for another node's reply.
-pub(crate) const ANSWER_LIMIT: Duration = Duration::from_millis(300);
+pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Updates that have not been sent yet.
 pub(crate) struct UpdateQueue<T> {
@@ -62,7 +62,7 @@
         let request = request.clone();
         let executor = peers.executor.clone();
         let send = async move {
-            peers.call(peer, &request, ANSWER_LIMIT).await;
+            peers.call(peer, &request, REPLY_TIMEOUT).await;
         };
         executor.spawn(send).detach();
     }
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -166,7 +166,11 @@
 
 /// Asks a target whether it is well and does not leave.
 /// Asks a target how it is, so that it says what it wants said.
-pub(crate) async fn ask_health(traffic: Rc<Traffic>, desk: Rc<ServiceContext>, target: TargetSpec) {
+pub(crate) async fn probe_health(
+    traffic: Rc<Traffic>,
+    desk: Rc<ServiceContext>,
+    target: TargetSpec,
+) {
     let end = read_health(&traffic, &desk, &target).await;
     log::info!("target={} was asked how it is: {end:?}", target.id);
 }
--- a/packages/turnford-serve/src/limit_placement.rs
+++ b/packages/turnford-serve/src/limit_placement.rs
@@ -1,4 +1,4 @@
-//! Places at targets of which some have limits for all nodes together.
+//! Placement of requests among targets some of which have limits for all nodes together.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,24 +17,25 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Pause before a request looks again where this node does not divide.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which a request retries its placement on a node that is not the allocator.
+const PLACEMENT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where a request may run, by what this node knows.
+/// Placement of a request, subject to the limits.
 pub(crate) enum LimitedPlacement {
-    /// At a target.
+    /// A target is assigned.
     Assigned {
         target: TargetSpec,
-        /// Number of the placement.
+        /// Id of the placement.
         ticket: u64,
-        /// Whether it comes with a permit for one call.
+        /// Whether the placement includes a permit for one call.
         has_permit: bool,
     },
     /// No target is left.
     NoTarget,
-    /// All that are left have limits, and it should ask again after this time.
+    /// All remaining targets have limits; the placement may be retried after this time.
     Wait(Duration),
-    /// All that are left have limits, and its turn does not come in time; when to come back.
+    /// All remaining targets have limits, and no permit will be available in time; retry delay for
+    /// the client.
     Full(Duration),
 }
 
@@ -50,46 +51,49 @@
     }
 }
 
-/// Places a request: at targets with room first, in turn where all have limits.
+/// Places a request, preferring targets without a limit. If all have limits, requests are placed in
+/// the order of the permit queue.
 pub(crate) fn place_limited(
     traffic: &Traffic,
-    desk: &ServiceContext,
-    need: &PlacementRequest,
-    turn: &QueuedRequest,
+    context: &ServiceContext,
+    request: &PlacementRequest,
+    queued: &QueuedRequest,
 ) -> LimitedPlacement {
-    if !desk.limits.table.borrow().has_limits() {
-        return LimitedPlacement::of(place_best(traffic, desk, need));
+    if !context.limits.table.borrow().has_limits() {
+        return LimitedPlacement::of(place_best(traffic, context, request));
     }
     let now = traffic.shared.now();
-    let left = desk.targets.borrow().untried_targets(&need.tried);
-    let mut division = desk.limits.election.borrow_mut();
-    let Some(divider) = division.allocator() else {
-        drop(division);
-        return place_beside(traffic, desk, need, &left);
+    let untried = context.targets.borrow().untried_targets(&request.tried);
+    let mut election = context.limits.election.borrow_mut();
+    let Some(allocator) = election.allocator() else {
+        drop(election);
+        return place_unlimited(traffic, context, request, &untried);
     };
-    let (limited, free): (Vec<TargetId>, Vec<TargetId>) =
-        left.into_iter().partition(|id| divider.is_limited(now, id));
+    let (limited, free): (Vec<TargetId>, Vec<TargetId>) = untried
+        .into_iter()
+        .partition(|id| allocator.is_limited(now, id));
     let is_any_awake = {
-        let board = desk.targets.borrow();
-        free.iter().any(|id| !board.is_paused(now, id))
+        let table = context.targets.borrow();
+        free.iter().any(|id| !table.is_paused(now, id))
     };
     if !limited.is_empty() && !is_any_awake {
-        match divider.request_permit(now, turn, &limited) {
+        match allocator.request_permit(now, queued, &limited) {
             PermitDecision::Granted => {}
             PermitDecision::Wait(span) => return LimitedPlacement::Wait(span),
             PermitDecision::Rejected(span) => return LimitedPlacement::Full(span),
         }
     }
-    let mut need = need.clone();
-    let used_up = limited.iter().filter(|id| !divider.has_capacity(now, id));
-    need.tried
+    let mut request = request.clone();
+    let used_up = limited.iter().filter(|id| !allocator.has_capacity(now, id));
+    request
+        .tried
         .extend(used_up.cloned().collect::<Vec<TargetId>>());
-    let Some((target, ticket)) = place_best(traffic, desk, &need) else {
+    let Some((target, ticket)) = place_best(traffic, context, &request) else {
         return LimitedPlacement::NoTarget;
     };
     let has_permit = limited.contains(&target.id);
-    if let Err(wait) = divider.take(now, &target.id, PermitPurpose::Work) {
-        desk.engines.borrow_mut().record_end(ticket);
+    if let Err(wait) = allocator.take(now, &target.id, PermitPurpose::Work) {
+        context.engines.borrow_mut().record_end(ticket);
         return LimitedPlacement::Wait(wait);
     }
     LimitedPlacement::Assigned {
@@ -99,91 +103,101 @@
     }
 }
 
-/// Places a request at a target without a limit, since this node does not divide.
-fn place_beside(
+/// Places a request on a target that needs no permit, because this node is not the allocator.
+fn place_unlimited(
     traffic: &Traffic,
-    desk: &ServiceContext,
-    need: &PlacementRequest,
-    left: &[TargetId],
+    context: &ServiceContext,
+    request: &PlacementRequest,
+    untried: &[TargetId],
 ) -> LimitedPlacement {
     let now = traffic.shared.now();
-    let mut need = need.clone();
-    let limits = desk.limits.table.borrow();
-    let closed = left.iter().filter(|id| !limits.is_open(now, id));
-    need.tried
+    let mut request = request.clone();
+    let limits = context.limits.table.borrow();
+    let closed = untried.iter().filter(|id| !limits.is_open(now, id));
+    request
+        .tried
         .extend(closed.cloned().collect::<Vec<TargetId>>());
     drop(limits);
-    match place_best(traffic, desk, &need) {
+    match place_best(traffic, context, &request) {
         Some(placed) => LimitedPlacement::of(Some(placed)),
-        None if left.is_empty() => LimitedPlacement::NoTarget,
-        None => LimitedPlacement::Wait(LOOK_PAUSE),
+        None if untried.is_empty() => LimitedPlacement::NoTarget,
+        None => LimitedPlacement::Wait(PLACEMENT_RETRY_INTERVAL),
     }
 }
 
-/// Places a request at the best target that it was not sent to before.
+/// Places a request on the best target that it has not been sent to yet.
 fn place_best(
     traffic: &Traffic,
-    desk: &ServiceContext,
-    need: &PlacementRequest,
+    context: &ServiceContext,
+    request: &PlacementRequest,
 ) -> Option<(TargetSpec, u64)> {
-    if desk.spec.borrow().engine.is_none() {
-        let target = choose_target(traffic, desk, &need.tried)?;
-        return Some((target, desk.next_trial_id()));
+    if context.spec.borrow().engine.is_none() {
+        let target = choose_target(traffic, context, &request.tried)?;
+        return Some((target, context.next_trial_id()));
     }
     let now = traffic.shared.now();
-    let board = desk.targets.borrow();
-    desk.engines.borrow_mut().place(now, &board, need)
+    let table = context.targets.borrow();
+    context.engines.borrow_mut().place(now, &table, request)
 }
 
-/// Chooses a target that is no engine, where some have limits: by what this node knows, with a permit for one
-/// that has a limit.
+/// Chooses a target of a service without engines where some targets have limits, using this node's
+/// knowledge. Acquires a permit if the chosen target has a limit.
+///
 ///
 /// # Errors
 ///
-/// Returns nothing where all that are left have limits, so that requests of all nodes take turns.
+///
+/// Returns `Err(())` if all remaining targets have limits, in which case the request has to wait in
+/// the permit queue that is shared by all nodes.
 pub(crate) async fn choose_limited(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     tried: &[TargetId],
 ) -> Result<Option<TargetSpec>, ()> {
-    if !desk.limits.table.borrow().has_limits() {
-        return Ok(choose_target(traffic, desk, tried));
+    if !context.limits.table.borrow().has_limits() {
+        return Ok(choose_target(traffic, context, tried));
     }
     loop {
         let now = traffic.shared.now();
-        let left = desk.targets.borrow().untried_targets(tried);
-        if !has_free(desk, now, &left) {
-            return if left.is_empty() { Ok(None) } else { Err(()) };
+        let untried = context.targets.borrow().untried_targets(tried);
+        if !has_unlimited(context, now, &untried) {
+            return if untried.is_empty() {
+                Ok(None)
+            } else {
+                Err(())
+            };
         }
         let denied = {
-            let limits = desk.limits.table.borrow();
-            let denied = left.iter().filter(|id| !limits.may_open(now, id));
+            let limits = context.limits.table.borrow();
+            let denied = untried.iter().filter(|id| !limits.may_open(now, id));
             denied.cloned().collect::<Vec<TargetId>>()
         };
         let closed = [tried, &denied[..]].concat();
-        let Some(target) = choose_target(traffic, desk, &closed) else {
+        let Some(target) = choose_target(traffic, context, &closed) else {
             return Ok(None);
         };
-        if desk.limits.table.borrow().is_open(now, &target.id) {
+        if context.limits.table.borrow().is_open(now, &target.id) {
             return Ok(Some(target));
         }
-        match desk
+        match context
             .limits
             .acquire_permit(&target, PermitPurpose::Work)
             .await
         {
             PermitOutcome::Granted => return Ok(Some(target)),
             PermitOutcome::Unlimited(span) => {
-                report_limit(&desk.limits, &target);
+                report_limit(&context.limits, &target);
                 let until = traffic.shared.now() + span;
-                desk.limits
+                context
+                    .limits
                     .table
                     .borrow_mut()
                     .record_denial(&target.id, until);
             }
             PermitOutcome::Wait(span) => {
-                let until = traffic.shared.now() + span.max(LOOK_PAUSE);
-                desk.limits
+                let until = traffic.shared.now() + span.max(PLACEMENT_RETRY_INTERVAL);
+                context
+                    .limits
                     .table
                     .borrow_mut()
                     .record_denial(&target.id, until);
@@ -192,10 +206,10 @@
     }
 }
 
-/// Tells whether any of these targets needs no permit and is not paused.
-fn has_free(desk: &ServiceContext, now: Moment, targets: &[TargetId]) -> bool {
-    let board = desk.targets.borrow();
-    let limits = desk.limits.table.borrow();
+/// Returns whether any of these targets needs no permit and is not paused.
+fn has_unlimited(context: &ServiceContext, now: Moment, targets: &[TargetId]) -> bool {
+    let table = context.targets.borrow();
+    let limits = context.limits.table.borrow();
     let mut free = targets.iter().filter(|id| !limits.state(id).needs_permit());
-    free.any(|id| !board.is_paused(now, id))
+    free.any(|id| !table.is_paused(now, id))
 }
--- a/packages/turnford-serve/src/limit_sync.rs
+++ b/packages/turnford-serve/src/limit_sync.rs
@@ -1,5 +1,5 @@
-//! What a node does about limits without being asked: it compares them with other nodes, and where it divides,
-//! looks after targets that get no call.
+//! Background maintenance of limits: periodic comparison with other nodes and, on the allocator,
+//! probes of limited targets that get no calls.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,143 +13,146 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::fanout::ANSWER_LIMIT;
-use crate::leaving::ask_health;
-use crate::limit_updates::own_news;
-use crate::limit_updates::take_limits;
+use crate::fanout::REPLY_TIMEOUT;
+use crate::leaving::probe_health;
+use crate::limit_updates::apply_limits;
+use crate::limit_updates::known_limits;
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Pause between two comparisons with another node.
-const COMPARE_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between comparisons with another node.
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Nodes with which one compares that divides: two that do must hear of each other soon.
-const DIVIDER_PEERS: usize = 3;
+/// Number of nodes that an allocator compares with: two allocators of one service must learn of
+/// each other soon.
+const ALLOCATOR_PEERS: usize = 3;
 
-/// Time after its start in which a node compares though it knows of no limit.
-const START_SPAN: Duration = Duration::from_secs(5);
+/// Time after the start of a node during which it compares although it knows of no limit.
+const START_PERIOD: Duration = Duration::from_secs(5);
 
-/// Follows the limits for as long as the node runs.
+/// Maintains the limits for as long as the node runs.
 pub(crate) async fn follow_limits(traffic: Rc<Traffic>) {
     loop {
-        Timer::after(COMPARE_PAUSE).await;
-        for desk in traffic.all_services() {
-            keep_division(&traffic, &desk);
+        Timer::after(SYNC_INTERVAL).await;
+        for context in traffic.all_services() {
+            maintain_allocator(&traffic, &context);
         }
-        note_gauges(&traffic);
-        compare(&traffic);
+        update_gauges(&traffic);
+        sync_limits(&traffic);
     }
 }
 
-/// Compares what this node knows with what others know.
-fn compare(traffic: &Rc<Traffic>) {
-    let is_new = traffic.shared.now() < START_SPAN;
-    let desks = traffic.all_services();
-    let compared = desks
+/// Compares this node's knowledge with that of other nodes.
+fn sync_limits(traffic: &Rc<Traffic>) {
+    let is_new = traffic.shared.now() < START_PERIOD;
+    let services = traffic.all_services();
+    let compared = services
         .iter()
-        .filter(|desk| is_new || desk.limits.is_divided.get());
-    let marks: Vec<LimitDigest> = compared.map(|desk| desk.limits.mark()).collect();
-    if marks.is_empty() {
+        .filter(|context| is_new || context.limits.is_allocated.get());
+    let digests: Vec<LimitDigest> = compared.map(|context| context.limits.digest()).collect();
+    if digests.is_empty() {
         return;
     }
-    let divides = |desk: &Rc<ServiceContext>| {
-        let mut division = desk.limits.election.borrow_mut();
-        division.allocator().is_some()
+    let divides = |context: &Rc<ServiceContext>| {
+        let mut election = context.limits.election.borrow_mut();
+        election.allocator().is_some()
     };
-    let count = if desks.iter().any(divides) {
-        DIVIDER_PEERS
+    let count = if services.iter().any(divides) {
+        ALLOCATOR_PEERS
     } else {
         1
     };
     for peer in traffic.peers.sample(count) {
-        let compare = compare_with(traffic.clone(), peer, marks.clone());
+        let compare = sync_with(traffic.clone(), peer, digests.clone());
         traffic.executor.spawn(compare).detach();
     }
 }
 
-async fn compare_with(traffic: Rc<Traffic>, peer: SocketAddr, marks: Vec<LimitDigest>) {
-    let request = WorkRequest::LimitSync(marks);
-    let reply = traffic.peers.call(peer, &request, ANSWER_LIMIT).await;
+async fn sync_with(traffic: Rc<Traffic>, peer: SocketAddr, digests: Vec<LimitDigest>) {
+    let request = WorkRequest::LimitSync(digests);
+    let reply = traffic.peers.call(peer, &request, REPLY_TIMEOUT).await;
     let Some(WorkReply::Limits { updates, behind }) = reply else {
         return;
     };
-    for news in &updates {
-        if let Some(desk) = traffic.service(&news.service) {
-            take_limits(&desk.limits, news);
+    for update in &updates {
+        if let Some(context) = traffic.service(&update.service) {
+            apply_limits(&context.limits, update);
         }
     }
-    let desks = behind.iter().filter_map(|service| traffic.service(service));
-    let news: Vec<LimitUpdate> = desks.filter_map(|desk| own_news(&desk.limits)).collect();
-    if !news.is_empty() {
-        let request = WorkRequest::Limits(news);
-        traffic.peers.call(peer, &request, ANSWER_LIMIT).await;
+    let services = behind.iter().filter_map(|service| traffic.service(service));
+    let own_updates: Vec<LimitUpdate> = services
+        .filter_map(|context| known_limits(&context.limits))
+        .collect();
+    if !own_updates.is_empty() {
+        let request = WorkRequest::Limits(own_updates);
+        traffic.peers.call(peer, &request, REPLY_TIMEOUT).await;
     }
 }
 
-/// Answers a node that compares what it knows.
-pub(crate) fn answer_limit_sync(traffic: &Traffic, marks: &[LimitDigest]) -> WorkReply {
+/// Answers another node's comparison.
+pub(crate) fn answer_limit_sync(traffic: &Traffic, digests: &[LimitDigest]) -> WorkReply {
     let mut updates = Vec::new();
     let mut behind = Vec::new();
-    for mark in marks {
-        let Some(desk) = traffic.service(&mark.service) else {
+    for digest in digests {
+        let Some(context) = traffic.service(&digest.service) else {
             continue;
         };
-        let own = desk.limits.mark();
-        if own == *mark {
+        let own = context.limits.digest();
+        if own == *digest {
             continue;
         }
-        if own.term <= mark.term {
-            behind.push(mark.service.clone());
+        if own.term <= digest.term {
+            behind.push(digest.service.clone());
         }
-        if own.term >= mark.term {
-            updates.extend(own_news(&desk.limits));
+        if own.term >= digest.term {
+            updates.extend(known_limits(&context.limits));
         }
     }
     WorkReply::Limits { updates, behind }
 }
 
-/// Does what a divider does without being asked.
-fn keep_division(traffic: &Rc<Traffic>, desk: &Rc<ServiceContext>) {
+/// Does the maintenance of an allocator for one service.
+fn maintain_allocator(traffic: &Rc<Traffic>, context: &Rc<ServiceContext>) {
     let now = traffic.shared.now();
-    let limits = &desk.limits;
-    let mut division = limits.election.borrow_mut();
-    let idle = division.allocator().map_or_else(Vec::new, |divider| {
-        let board = limits.table.borrow();
-        divider.retain_listed(|target: &TargetId, born| board.is_known(target, born));
-        divider.set_reaches_half(traffic.shared.view.load().reaches_half());
-        divider.take_idle(now)
+    let limits = &context.limits;
+    let mut election = limits.election.borrow_mut();
+    let idle = election.allocator().map_or_else(Vec::new, |allocator| {
+        let table = limits.table.borrow();
+        allocator.retain_listed(|target: &TargetId, born| table.is_known(target, born));
+        allocator.set_reaches_half(traffic.shared.view.load().reaches_half());
+        allocator.take_idle(now)
     });
-    drop(division);
+    drop(election);
     limits.publish(false);
     if !limits.table.borrow().has_limits() {
-        // Whoever has to place for all may do so again.
-        limits.is_divided.set(false);
+        // Without limits, requests may be placed by the regular placer again.
+        limits.is_allocated.set(false);
     }
     for target in idle {
-        let listed = desk.targets.borrow().get(&target).cloned();
+        let listed = context.targets.borrow().get(&target).cloned();
         if let Some(target) = listed.filter(|target| !target.leaving) {
             limits.add_permit(&target.id, now);
-            let ask = ask_health(traffic.clone(), desk.clone(), target);
-            traffic.executor.spawn(ask).detach();
+            let probe = probe_health(traffic.clone(), context.clone(), target);
+            traffic.executor.spawn(probe).detach();
         }
     }
 }
 
-fn note_gauges(traffic: &Traffic) {
+fn update_gauges(traffic: &Traffic) {
     let now = traffic.shared.now();
     let mut targets = 0;
     let mut rate = 0.0;
     let mut waiting = 0;
-    for desk in traffic.all_services() {
-        targets += desk.limits.table.borrow().limited().count();
-        if let Some(divider) = desk.limits.election.borrow_mut().allocator() {
-            let (given, line) = divider.load(now);
-            rate += given;
-            waiting += line;
+    for context in traffic.all_services() {
+        targets += context.limits.table.borrow().limited().count();
+        if let Some(allocator) = context.limits.election.borrow_mut().allocator() {
+            let (granted, queued) = allocator.load(now);
+            rate += granted;
+            waiting += queued;
         }
     }
     let metrics = &traffic.shared.metrics;
     metrics.limited_targets.set(targets as u64);
     metrics.limit_rate.set(rate);
-    metrics.limit_line.set(waiting as u64);
+    metrics.limit_queue.set(waiting as u64);
 }
--- a/packages/turnford-serve/src/limit_updates.rs
+++ b/packages/turnford-serve/src/limit_updates.rs
@@ -1,7 +1,10 @@
-//! What targets say of their limits for all nodes together, and how all nodes learn it.
+//! Observations of the limits that targets announce for all nodes together, and their
+//! dissemination.
 //!
-//! A node that hears a new word tells the one that divides, which orders the words of all nodes, numbers what
-//! follows, and tells it on. Beside that, nodes that know of limits compare what they know.
+//!
+//! A node that observes a changed limit reports it to the allocator, which orders the observations
+//! of all nodes, numbers its updates and disseminates them. In addition, nodes that know of limits
+//! periodically compare digests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,67 +25,75 @@
 use turnford_wire::WorkReply;
 use turnford_wire::WorkRequest;
 
-use crate::fanout::ANSWER_LIMIT;
+use crate::fanout::REPLY_TIMEOUT;
 use crate::limits::ServiceLimits;
-use crate::limits::NEWS_LIMIT;
+use crate::limits::MAX_ENTRIES;
 
-/// Nodes that a report is told to, one after the other, until one takes it.
-const REPORT_TRIES: usize = 4;
+/// Maximum number of nodes that a report is sent to in a row, until one accepts it.
+const MAX_REPORT_ATTEMPTS: usize = 4;
 
-/// Pause before the next of them.
-const REPORT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay between these attempts.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Hears what a target's answer said of its limit.
+/// Processes the limit that a target announced in a response.
 pub(crate) fn process_limit(
     limits: &Rc<ServiceLimits>,
     target: &TargetSpec,
-    heard: LimitObservation,
+    observation: LimitObservation,
     attempt: &str,
 ) {
-    let mut board = limits.table.borrow_mut();
-    let before = board.observe(&target.id, target.process_start, heard);
-    drop(board);
+    let mut table = limits.table.borrow_mut();
+    let before = table.observe(&target.id, target.process_start, observation);
+    drop(table);
     if let Some(before) = before {
-        let word = heard.signal;
+        let signal = observation.signal;
         log::info!(
-            "target={} names limit={word} before={before:?} request={attempt}",
+            "target={} names limit={signal} before={before:?} request={attempt}",
             target.id
         );
         report_limit(limits, target);
     }
 }
 
-/// Tells the node that divides what this one heard last of a target's limit, soon.
+/// Schedules a report of this node's last observation of a target's limit to the allocator.
 pub(crate) fn report_limit(limits: &Rc<ServiceLimits>, target: &TargetSpec) {
-    if limits.reports.borrow_mut().insert(target.id.clone()) {
-        let report = report_word(limits.clone(), target.id.clone(), target.process_start);
+    if limits
+        .pending_reports
+        .borrow_mut()
+        .insert(target.id.clone())
+    {
+        let report = report_observation(limits.clone(), target.id.clone(), target.process_start);
         limits.peers.executor.spawn(report).detach();
     }
 }
 
-async fn report_word(limits: Rc<ServiceLimits>, target: TargetId, born: ProcessStart) {
-    for _ in 0..REPORT_TRIES {
-        let Some(heard) = limits.table.borrow().observation(&target) else {
+async fn report_observation(
+    limits: Rc<ServiceLimits>,
+    target: TargetId,
+    process_start: ProcessStart,
+) {
+    for _ in 0..MAX_REPORT_ATTEMPTS {
+        let Some(observation) = limits.table.borrow().observation(&target) else {
             break;
         };
-        if tell_word(&limits, &target, born, heard).await {
+        if send_report(&limits, &target, process_start, observation).await {
             break;
         }
-        Timer::after(REPORT_PAUSE).await;
+        Timer::after(REPORT_RETRY_DELAY).await;
     }
-    limits.reports.borrow_mut().remove(&target);
+    limits.pending_reports.borrow_mut().remove(&target);
 }
 
-/// Tells one node; true if it divides.
-async fn tell_word(
+/// Reports to one node. Returns `true` if that node is the allocator.
+async fn send_report(
     limits: &Rc<ServiceLimits>,
     target: &TargetId,
-    born: ProcessStart,
-    heard: LimitObservation,
+    process_start: ProcessStart,
+    observation: LimitObservation,
 ) -> bool {
     let term = limits.election.borrow().term().cloned();
     let Some(peer) = limits.placer() else {
-        return note_word(limits, target, born, heard, term.as_ref());
+        return apply_observation(limits, target, process_start, observation, term.as_ref());
     };
     let now = limits.peers.shared.now();
     let age = |at: Moment| {
@@ -93,31 +104,31 @@
         service: limits.service.to_string(),
         term,
         target: target.to_string(),
-        process_start: born,
-        rate: heard.signal.rate(),
-        sent_ms: age(heard.sent_at),
-        received_ms: age(heard.received_at),
+        process_start,
+        rate: observation.signal.rate(),
+        sent_ms: age(observation.sent_at),
+        received_ms: age(observation.received_at),
     };
     let request = WorkRequest::LimitReport(report);
-    let reply = limits.peers.call(peer, &request, ANSWER_LIMIT).await;
+    let reply = limits.peers.call(peer, &request, REPLY_TIMEOUT).await;
     let Some(WorkReply::Limits { updates, .. }) = reply else {
         return false;
     };
-    for news in &updates {
-        limits.record_holder(&news.term);
-        take_limits(limits, news);
+    for update in &updates {
+        limits.record_holder(&update.term);
+        apply_limits(limits, update);
     }
     updates
         .iter()
-        .any(|news| news.term.holder.work_address == peer)
+        .any(|update| update.term.holder.work_address == peer)
 }
 
-/// Takes a word where this node divides; false if it does not.
-fn note_word(
+/// Applies an observation if this node is the allocator. Returns `false` if it is not.
+fn apply_observation(
     limits: &Rc<ServiceLimits>,
     target: &TargetId,
-    born: ProcessStart,
-    heard: LimitObservation,
+    process_start: ProcessStart,
+    observation: LimitObservation,
     asked: Option<&LimitTerm>,
 ) -> bool {
     let role = limits.resolve_role(asked);
@@ -125,8 +136,8 @@
         return false;
     }
     let now = limits.peers.shared.now();
-    if let Some(divider) = limits.election.borrow_mut().allocator() {
-        divider.observe(now, target, born, heard);
+    if let Some(allocator) = limits.election.borrow_mut().allocator() {
+        allocator.observe(now, target, process_start, observation);
     }
     limits.publish(false);
     true
@@ -136,44 +147,44 @@
 pub(crate) fn answer_report(limits: &Rc<ServiceLimits>, report: &LimitReport) -> WorkReply {
     let now = limits.peers.shared.now();
     let at = |age: u64| now.saturating_sub(Duration::from_millis(age));
-    let heard = LimitObservation {
+    let observation = LimitObservation {
         signal: report
             .rate
             .map_or(LimitSignal::Unlimited, LimitSignal::Rate),
-        // It was on its way for so long at most.
-        sent_at: at(report.sent_ms).saturating_sub(ANSWER_LIMIT),
+        // The report may have been in transit for this long.
+        sent_at: at(report.sent_ms).saturating_sub(REPLY_TIMEOUT),
         received_at: at(report.received_ms),
     };
     let target: TargetId = report.target.as_str().into();
     let asked = report.term.as_ref();
-    note_word(limits, &target, report.process_start, heard, asked);
+    apply_observation(limits, &target, report.process_start, observation, asked);
     WorkReply::Limits {
-        updates: own_news(limits).into_iter().collect(),
+        updates: known_limits(limits).into_iter().collect(),
         behind: Vec::new(),
     }
 }
 
-/// Takes another node's news, and passes on what is new.
-pub(crate) fn answer_limits(limits: &Rc<ServiceLimits>, news: &LimitUpdate) {
-    if take_limits(limits, news) {
-        limits.tell(&news.term, &news.entries);
+/// Applies another node's update and forwards it if it is new.
+pub(crate) fn answer_limits(limits: &Rc<ServiceLimits>, update: &LimitUpdate) {
+    if apply_limits(limits, update) {
+        limits.notify(&update.term, &update.entries);
     }
 }
 
-/// Takes what the node that divides said; true if anything is new.
-pub(crate) fn take_limits(limits: &ServiceLimits, news: &LimitUpdate) -> bool {
-    let is_later = limits.note_term(&news.term);
-    let mut division = limits.election.borrow_mut();
-    let is_told = division.term() == Some(&news.term) && division.allocator().is_none();
-    drop(division);
-    is_told && (limits.take_entries(&news.entries) || is_later)
+/// Applies an update of the allocator. Returns `true` if any of it is new.
+pub(crate) fn apply_limits(limits: &ServiceLimits, update: &LimitUpdate) -> bool {
+    let is_later = limits.observe_term(&update.term);
+    let mut election = limits.election.borrow_mut();
+    let is_remote = election.term() == Some(&update.term) && election.allocator().is_none();
+    drop(election);
+    is_remote && (limits.apply_entries(&update.entries) || is_later)
 }
 
-/// Returns what this node knows of a service's limits, `None` if nobody divides them.
-pub(crate) fn own_news(limits: &ServiceLimits) -> Option<LimitUpdate> {
+/// Returns what this node knows of the limits of a service, or `None` if there is no allocator.
+pub(crate) fn known_limits(limits: &ServiceLimits) -> Option<LimitUpdate> {
     let term = limits.election.borrow().term().cloned()?;
-    let board = limits.table.borrow();
-    let entries = board
+    let table = limits.table.borrow();
+    let entries = table
         .announced()
         .map(|(target, process_start, sequence, state)| LimitEntry {
             target: target.to_string(),
@@ -184,6 +195,6 @@
     Some(LimitUpdate {
         service: limits.service.to_string(),
         term,
-        entries: entries.take(NEWS_LIMIT).collect(),
+        entries: entries.take(MAX_ENTRIES).collect(),
     })
 }
--- a/packages/turnford-serve/src/limits.rs
+++ b/packages/turnford-serve/src/limits.rs
@@ -1,7 +1,10 @@
-//! Limits that the targets of a service name for all nodes together: who divides them, and permits for calls.
+//! Limits that the targets of a service announce for all nodes together: the election of the
+//! allocating node, and permits for calls.
 //!
-//! The node that places for a service divides the limits of its targets. A call to a target with a limit
-//! needs a permit of it; a node that gets no answer sends nothing there.
+//!
+//! The node that places the requests of a service also allocates the limits of its targets. A call
+//! to a limited target needs a permit from the allocator; a node that gets no reply sends no call
+//! to such a target.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -39,49 +42,52 @@
 use crate::fanout::notify_sample;
 use crate::metrics::ServiceEvent;
 use crate::peers::PeerPool;
-use crate::peers::ALIVE_LIMIT;
+use crate::peers::PROBE_TIMEOUT;
 
-/// Longest wait for the node that places and divides: well below what a request can spare.
+/// Timeout for the node that places requests and allocates limits: well below the time that a
+/// request can spare.
 pub(crate) const PLACEMENT_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Nodes that are asked one after the other, each named by the one before or next in its place.
-const ASK_TRIES: usize = 3;
+/// Maximum number of nodes asked in a row for a permit. Each is named by the one before, or next in
+/// rank after it.
+const MAX_PERMIT_ATTEMPTS: usize = 3;
 
-/// Time since the last word of the node that divides in which it is not looked for: it may have begun to
-/// stop meanwhile.
-const HEARD_SPAN: Duration = Duration::from_millis(200);
+/// Time since the last contact with the allocator during which it is trusted without a probe. It
+/// may have started to stop in the meantime.
+const CONTACT_FRESHNESS: Duration = Duration::from_millis(200);
 
-/// Pause before a node asks again whose divider is being looked for: one that stops says so at once.
+/// Retry delay while the allocator is being probed; an allocator that stops refuses immediately.
 pub(crate) const UNCONFIRMED_RETRY: Duration = Duration::from_millis(40);
 
-/// Pause before a node that nobody gave an answer asks again.
-const UNHEARD_PAUSE: Duration = Duration::from_millis(100);
+/// Retry delay after no node replied.
+const NO_REPLY_RETRY: Duration = Duration::from_millis(100);
 
-/// Most targets of one message.
-pub(crate) const NEWS_LIMIT: usize = 256;
+/// Maximum number of targets in one message.
+pub(crate) const MAX_ENTRIES: usize = 256;
 
-/// What became of an ask for a permit.
+/// Outcome of a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PermitOutcome {
-    /// One call may go.
+    /// One call may be sent.
     Granted,
-    /// None now; when to ask again.
+    /// No permit is available; the request may be repeated after this time.
     Wait(Duration),
-    /// The node that divides knows of no limit; when to ask again, once the two have compared.
+    /// The allocator knows of no limit; the request may be repeated after this time, once the two
+    /// nodes have synced.
     Unlimited(Duration),
 }
 
-/// The limits of one service's targets, as the traffic thread has them.
+/// Limits of the targets of one service, as known to the traffic thread.
 pub(crate) struct ServiceLimits {
     pub(crate) peers: Rc<PeerPool>,
     pub(crate) service: ServiceId,
     pub(crate) table: RefCell<LimitTable>,
     pub(crate) election: RefCell<AllocatorElection>,
-    /// Whether the node that divides places for the service, as it does while there are limits.
-    pub(crate) is_divided: Cell<bool>,
-    /// Targets whose words are on their way to it.
-    pub(crate) reports: RefCell<BTreeSet<TargetId>>,
-    /// Looks again what can be sent where.
+    /// Whether requests are placed by the allocator, as they are while there are limits.
+    pub(crate) is_allocated: Cell<bool>,
+    /// Targets with an observation that is being reported to the allocator.
+    pub(crate) pending_reports: RefCell<BTreeSet<TargetId>>,
+    /// Called after a change of the limits, to dispatch requests that can be sent now.
     on_change: Box<dyn Fn()>,
 }
 
@@ -91,28 +97,29 @@
         service: ServiceId,
         on_change: impl Fn() + 'static,
     ) -> Rc<Self> {
-        let own = own_divider(&peers);
+        let own = own_allocator_id(&peers);
         Rc::new(Self {
             peers,
             service,
             table: RefCell::default(),
             election: RefCell::new(AllocatorElection::new(own)),
-            is_divided: Cell::new(false),
-            reports: RefCell::default(),
+            is_allocated: Cell::new(false),
+            pending_reports: RefCell::default(),
             on_change: Box::new(on_change),
         })
     }
 
-    /// Returns the address of the node that places for the service, and divides its targets' limits; `None`
-    /// if it is this one. Where there are limits, it stays with the one that has begun.
+    /// Returns the address of the node that places the requests of the service and allocates the
+    /// limits of its targets, or `None` if that is this node. While there are limits, the elected
+    /// allocator keeps the role.
     pub(crate) fn placer(&self) -> Option<SocketAddr> {
         let by_rank = || self.peers.owner_of(&Duty::Place(self.service.to_string()));
-        let division = self.election.borrow();
-        let Some(term) = division.term().filter(|_| self.is_divided.get()) else {
+        let election = self.election.borrow();
+        let Some(term) = election.term().filter(|_| self.is_allocated.get()) else {
             return by_rank();
         };
         let now = self.peers.shared.now();
-        let is_own = term.holder == own_divider(&self.peers);
+        let is_own = term.holder == own_allocator_id(&self.peers);
         let holder = term.holder.work_address;
         if is_own && !self.peers.shared.is_draining() {
             None
@@ -123,121 +130,122 @@
         }
     }
 
-    /// Finds out who divides for a node that asks this one, or for this one itself.
+    /// Resolves who allocates, for another node that asks (`asked` is the term it knows) or for
+    /// this node itself.
     pub(crate) fn resolve_role(&self, asked: Option<&LimitTerm>) -> AllocationRole {
         if let Some(asked) = asked {
-            self.note_term(asked);
+            self.observe_term(asked);
         }
         let now = self.peers.shared.now();
-        let mut division = self.election.borrow_mut();
-        let sight = |holder: &AllocatorId| self.sight(now, holder);
-        let role = division.resolve(now, asked, sight, self.table.borrow().limited());
-        if let Some(divider) = division.allocator() {
-            divider.set_reaches_half(self.peers.shared.view.load().reaches_half());
+        let mut election = self.election.borrow_mut();
+        let holder_status = |holder: &AllocatorId| self.holder_status(now, holder);
+        let role = election.resolve(now, asked, holder_status, self.table.borrow().limited());
+        if let Some(allocator) = election.allocator() {
+            allocator.set_reaches_half(self.peers.shared.view.load().reaches_half());
         }
-        let number = division.term().map_or(0, |term| term.number);
-        drop(division);
+        let number = election.term().map_or(0, |term| term.number);
+        drop(election);
         match &role {
             AllocationRole::Allocates { is_new: true } => {
                 let service = &self.service;
-                log::info!("divides limits of service={service} term={number}");
-                self.is_divided.set(true);
+                log::info!("allocates limits of service={service} term={number}");
+                self.is_allocated.set(true);
                 self.table.borrow_mut().reset_sequences();
                 self.publish(true);
             }
             AllocationRole::Unconfirmed(term) => {
-                // One that stops refuses this, though it is there.
-                let request = WorkRequest::LimitSync(vec![self.mark()]);
-                let look = look_for(self.peers.clone(), term.holder.work_address, request);
-                self.peers.executor.spawn(look).detach();
+                // A stopping allocator refuses this request although it is reachable.
+                let request = WorkRequest::LimitSync(vec![self.digest()]);
+                let probe = probe_allocator(self.peers.clone(), term.holder.work_address, request);
+                self.peers.executor.spawn(probe).detach();
             }
             AllocationRole::Allocates { .. } | AllocationRole::Remote(_) => {}
         }
         role
     }
 
-    fn sight(&self, now: Moment, holder: &AllocatorId) -> HolderStatus {
+    fn holder_status(&self, now: Moment, holder: &AllocatorId) -> HolderStatus {
         let state = self.peers.state(holder.work_address);
-        let heard = state.heard.get();
+        let last_contact = state.last_contact.get();
         if !state.accepts_work(now) {
             HolderStatus::Unreachable
-        } else if !heard.is_zero() && now.saturating_sub(heard) < HEARD_SPAN {
+        } else if !last_contact.is_zero() && now.saturating_sub(last_contact) < CONTACT_FRESHNESS {
             HolderStatus::Reachable
         } else {
             HolderStatus::Unknown
         }
     }
 
-    /// Notes who divides; true if that is new.
-    pub(crate) fn note_term(&self, term: &LimitTerm) -> bool {
+    /// Records the term of an allocator. Returns `true` if it is newer than the known one.
+    pub(crate) fn observe_term(&self, term: &LimitTerm) -> bool {
         let is_later = self.election.borrow_mut().observe_term(term);
         if is_later {
             let service = &self.service;
             log::info!(
-                "node={} divides limits of service={service} term={}",
+                "node={} allocates limits of service={service} term={}",
                 term.holder.name,
                 term.number
             );
-            self.is_divided.set(true);
+            self.is_allocated.set(true);
             self.table.borrow_mut().reset_sequences();
-            self.peers.state(term.holder.work_address).note_heard_of();
+            self.peers.state(term.holder.work_address).mark_available();
         }
         is_later
     }
 
-    /// Notes that another node named who divides.
+    /// Records the allocator that another node named, and considers it reachable.
     pub(crate) fn record_holder(&self, term: &LimitTerm) {
-        self.note_term(term);
-        self.is_divided.set(true);
-        self.peers.state(term.holder.work_address).note_heard_of();
+        self.observe_term(term);
+        self.is_allocated.set(true);
+        self.peers.state(term.holder.work_address).mark_available();
     }
 
-    /// Tells this node's traffic and some others what the divider says anew; everything where it has just
-    /// begun.
+    /// Applies the allocator's pending updates to this node and sends them to a sample of other
+    /// nodes. Sends all entries if the allocator is new.
     pub(crate) fn publish(&self, is_new: bool) {
         let now = self.peers.shared.now();
-        let mut division = self.election.borrow_mut();
-        let Some(term) = division.term().cloned() else {
+        let mut election = self.election.borrow_mut();
+        let Some(term) = election.term().cloned() else {
             return;
         };
-        let Some(divider) = division.allocator() else {
+        let Some(allocator) = election.allocator() else {
             return;
         };
-        let news = divider.take_updates(now);
-        let entries = if is_new { divider.entries() } else { news };
-        drop(division);
+        let updates = allocator.take_updates(now);
+        let entries = if is_new { allocator.entries() } else { updates };
+        drop(election);
         if !entries.is_empty() || is_new {
-            self.take_entries(&entries);
-            self.tell(&term, &entries);
+            self.apply_entries(&entries);
+            self.notify(&term, &entries);
         }
     }
 
-    /// Tells some other nodes what the one that divides says.
-    pub(crate) fn tell(&self, term: &LimitTerm, entries: &[LimitEntry]) {
-        let mut parts: Vec<&[LimitEntry]> = entries.chunks(NEWS_LIMIT).collect();
+    /// Sends entries of the allocator to a sample of other nodes.
+    pub(crate) fn notify(&self, term: &LimitTerm, entries: &[LimitEntry]) {
+        let mut parts: Vec<&[LimitEntry]> = entries.chunks(MAX_ENTRIES).collect();
         if parts.is_empty() {
-            // Who divides is news, too.
+            // The term has to reach the other nodes even without entries.
             parts.push(&[]);
         }
         for part in parts {
-            let news = LimitUpdate {
+            let update = LimitUpdate {
                 service: self.service.to_string(),
                 term: term.clone(),
                 entries: part.to_vec(),
             };
-            notify_sample(&self.peers, &WorkRequest::Limits(vec![news]));
+            notify_sample(&self.peers, &WorkRequest::Limits(vec![update]));
         }
     }
 
-    /// Takes what the node that divides says; true if anything is new.
-    pub(crate) fn take_entries(&self, entries: &[LimitEntry]) -> bool {
+    /// Applies entries of the allocator. Returns `true` if any of them is new.
+    pub(crate) fn apply_entries(&self, entries: &[LimitEntry]) -> bool {
         let now = self.peers.shared.now();
         let mut is_new = false;
         for entry in entries {
             let target: TargetId = entry.target.as_str().into();
-            let mut board = self.table.borrow_mut();
-            let before = board.state(&target);
-            if board.apply(
+            let mut table = self.table.borrow_mut();
+            let before = table.state(&target);
+            if table.apply(
                 now,
                 &target,
                 entry.process_start,
@@ -257,19 +265,19 @@
         is_new
     }
 
-    /// Asks for a permit to send a call to a target with a limit, and keeps it for the next such call.
+    /// Requests a permit for a call to a limited target, and keeps it for the next such call.
     pub(crate) async fn acquire_permit(
         &self,
         target: &TargetSpec,
         purpose: PermitPurpose,
     ) -> PermitOutcome {
-        for _ in 0..ASK_TRIES {
-            let asked_at = self.peers.shared.now();
-            let ask = self.permit_ask(&target.id, target.process_start, purpose);
+        for _ in 0..MAX_PERMIT_ATTEMPTS {
+            let requested_at = self.peers.shared.now();
+            let request = self.build_permit_request(&target.id, target.process_start, purpose);
             let reply = match self.placer() {
-                None => self.grant(&ask),
+                None => self.grant(&request),
                 Some(peer) => {
-                    let request = WorkRequest::Permit(ask);
+                    let request = WorkRequest::Permit(request);
                     let reply = self.peers.call(peer, &request, PLACEMENT_TIMEOUT).await;
                     let Some(WorkReply::Permit(reply)) = reply else {
                         continue;
@@ -279,20 +287,21 @@
             };
             match reply {
                 PermitReply::Granted => {
-                    self.add_permit(&target.id, asked_at);
+                    self.add_permit(&target.id, requested_at);
                     return PermitOutcome::Granted;
                 }
-                PermitReply::Unlimited => return PermitOutcome::Unlimited(UNHEARD_PAUSE),
+                PermitReply::Unlimited => return PermitOutcome::Unlimited(NO_REPLY_RETRY),
                 PermitReply::Wait { wait_ms } => {
                     return PermitOutcome::Wait(Duration::from_millis(u64::from(wait_ms)));
                 }
                 PermitReply::Redirect(term) => self.record_holder(&term),
             }
         }
-        PermitOutcome::Wait(UNHEARD_PAUSE)
+        PermitOutcome::Wait(NO_REPLY_RETRY)
     }
 
-    /// Asks for a permit for a target's upkeep until there is one; false if there is none until a moment.
+    /// Requests a permit for a maintenance call until one is granted. Returns `false` if there is
+    /// none until `until`.
     pub(crate) async fn wait_permit(&self, target: &TargetSpec, until: Moment) -> bool {
         loop {
             let now = self.peers.shared.now();
@@ -314,8 +323,8 @@
         }
     }
 
-    /// Returns how new this node's knowledge is.
-    pub(crate) fn mark(&self) -> LimitDigest {
+    /// Returns the digest of this node's knowledge, for comparison with other nodes.
+    pub(crate) fn digest(&self) -> LimitDigest {
         let mut sum = 0;
         for (target, _, sequence, _) in self.table.borrow().announced() {
             let mut hasher = SipHasher13::new();
@@ -330,15 +339,15 @@
         }
     }
 
-    /// Keeps a permit that was asked for at a moment.
-    pub(crate) fn add_permit(&self, target: &str, asked_at: Moment) {
-        let mut board = self.table.borrow_mut();
-        board.add_permit(target, asked_at + PERMIT_LIFETIME);
+    /// Adds a permit. Its lifetime counts from the time at which it was requested.
+    pub(crate) fn add_permit(&self, target: &str, requested_at: Moment) {
+        let mut table = self.table.borrow_mut();
+        table.add_permit(target, requested_at + PERMIT_LIFETIME);
         let metrics = &self.peers.shared.metrics;
         metrics.record_service_event(&self.service, ServiceEvent::Permit);
     }
 
-    fn permit_ask(
+    fn build_permit_request(
         &self,
         target: &TargetId,
         born: ProcessStart,
@@ -354,36 +363,36 @@
         }
     }
 
-    /// Answers an ask for a permit.
-    pub(crate) fn grant(&self, ask: &PermitAcquire) -> PermitReply {
-        match self.resolve_role(ask.term.as_ref()) {
+    /// Answers a request for a permit.
+    pub(crate) fn grant(&self, request: &PermitAcquire) -> PermitReply {
+        match self.resolve_role(request.term.as_ref()) {
             AllocationRole::Allocates { .. } => {}
             AllocationRole::Remote(term) => return PermitReply::Redirect(term),
             AllocationRole::Unconfirmed(_) => return wait_reply(UNCONFIRMED_RETRY),
         }
         let now = self.peers.shared.now();
-        let mut division = self.election.borrow_mut();
-        let Some(divider) = division.allocator() else {
-            return wait_reply(UNHEARD_PAUSE);
+        let mut election = self.election.borrow_mut();
+        let Some(allocator) = election.allocator() else {
+            return wait_reply(NO_REPLY_RETRY);
         };
-        divider.adopt(
+        allocator.adopt(
             now,
-            &ask.target.as_str().into(),
-            ask.process_start,
-            ask.state,
+            &request.target.as_str().into(),
+            request.process_start,
+            request.state,
         );
-        if !divider.is_limited(now, &ask.target) {
+        if !allocator.is_limited(now, &request.target) {
             return PermitReply::Unlimited;
         }
-        match divider.take(now, &ask.target, ask.purpose) {
+        match allocator.take(now, &request.target, request.purpose) {
             Ok(()) => PermitReply::Granted,
             Err(wait) => wait_reply(wait),
         }
     }
 }
 
-/// Returns the identity under which this node divides.
-fn own_divider(peers: &PeerPool) -> AllocatorId {
+/// Returns the identity of this node as an allocator.
+fn own_allocator_id(peers: &PeerPool) -> AllocatorId {
     let shared = &peers.shared;
     AllocatorId {
         name: shared.settings.name.to_string(),
@@ -392,12 +401,12 @@
     }
 }
 
-/// Finds out whether a node still divides that another one finds lost.
-async fn look_for(peers: Rc<PeerPool>, holder: SocketAddr, request: WorkRequest) {
+/// Probes an allocator that another node considers unreachable.
+async fn probe_allocator(peers: Rc<PeerPool>, holder: SocketAddr, request: WorkRequest) {
     let state = peers.state(holder);
-    if !state.is_looked_for.replace(true) {
-        peers.call(holder, &request, ALIVE_LIMIT).await;
-        state.is_looked_for.set(false);
+    if !state.is_probing.replace(true) {
+        peers.call(holder, &request, PROBE_TIMEOUT).await;
+        state.is_probing.set(false);
     }
 }
 
--- a/packages/turnford-serve/src/metrics.rs
+++ b/packages/turnford-serve/src/metrics.rs
@@ -117,7 +117,7 @@
     pub(crate) limited_targets: Gauge<u64, AtomicU64>,
     /// Calls a second that this node gives out to all nodes, and requests that wait for them.
     pub(crate) limit_rate: Gauge<f64, AtomicU64>,
-    pub(crate) limit_line: Gauge<u64, AtomicU64>,
+    pub(crate) limit_queue: Gauge<u64, AtomicU64>,
     pub(crate) log_drops: Gauge<u64, AtomicU64>,
 }
 
@@ -140,7 +140,7 @@
             crashing: Gauge::default(),
             limited_targets: Gauge::default(),
             limit_rate: Gauge::default(),
-            limit_line: Gauge::default(),
+            limit_queue: Gauge::default(),
             log_drops: Gauge::default(),
         };
         metrics.register();
@@ -215,7 +215,7 @@
         registry.register(
             "limit_line",
             "Requests of all nodes that wait for such calls at this node",
-            self.limit_line.clone(),
+            self.limit_queue.clone(),
         );
         registry.register(
             "log_lines_dropped",
--- a/packages/turnford-serve/src/peers.rs
+++ b/packages/turnford-serve/src/peers.rs
@@ -27,7 +27,7 @@
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Longest wait for that answer.
-pub(crate) const ALIVE_LIMIT: Duration = Duration::from_millis(250);
+pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for which a node that did not answer gets no work. Its own probes find out meanwhile.
 const DOWN_SPAN: Duration = Duration::from_secs(3);
@@ -35,12 +35,12 @@
 /// What is known of another node that got work.
 #[derive(Default)]
 pub(crate) struct PeerState {
-    pub(crate) heard: Cell<Moment>,
+    pub(crate) last_contact: Cell<Moment>,
     /// Calls that wait for it.
     waiting: Cell<usize>,
     is_watched: Cell<bool>,
     /// Whether it is being found out whether it is there.
-    pub(crate) is_looked_for: Cell<bool>,
+    pub(crate) is_probing: Cell<bool>,
     /// Until when it counts as silent; what it has of ours goes to another.
     pub(crate) down_until: Cell<Moment>,
     /// Until when it gets no new work. It may finish what it has, as a node that stops does.
@@ -52,8 +52,8 @@
         self.down_until.get() <= now && self.refuses_until.get() <= now
     }
 
-    /// Notes that another node heard of it: it may get work again.
-    pub(crate) fn note_heard_of(&self) {
+    /// Notes that another node last_contact of it: it may get work again.
+    pub(crate) fn mark_available(&self) {
         self.down_until.set(Moment::ZERO);
         self.refuses_until.set(Moment::ZERO);
     }
@@ -119,7 +119,7 @@
                 None
             }
             Ok(reply) => {
-                state.heard.set(self.shared.now());
+                state.last_contact.set(self.shared.now());
                 Some(reply)
             }
             Err(fault) => {
@@ -164,7 +164,7 @@
     pub(crate) fn new(peers: &Rc<PeerPool>, peer: SocketAddr, state: &Rc<PeerState>) -> Self {
         state.waiting.set(state.waiting.get() + 1);
         if !state.is_watched.replace(true) {
-            state.heard.set(peers.shared.now());
+            state.last_contact.set(peers.shared.now());
             let watch = watch_peer(peers.clone(), peer, state.clone());
             peers.executor.spawn(watch).detach();
         }
@@ -184,12 +184,12 @@
 async fn watch_peer(peers: Rc<PeerPool>, peer: SocketAddr, state: Rc<PeerState>) {
     while state.waiting.get() > 0 {
         Timer::after(SILENCE_TIMEOUT).await;
-        let silence = peers.shared.now().saturating_sub(state.heard.get());
+        let silence = peers.shared.now().saturating_sub(state.last_contact.get());
         if state.waiting.get() == 0 || silence < SILENCE_TIMEOUT {
             continue;
         }
         let request = WorkRequest::Probe;
-        if peers.call(peer, &request, ALIVE_LIMIT).await.is_none() {
+        if peers.call(peer, &request, PROBE_TIMEOUT).await.is_none() {
             break;
         }
     }
