--- a/packages/turnford-serve/src/accept.rs
+++ b/packages/turnford-serve/src/accept.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, of the platform's readiness probe, and of those who read metrics.
+//! Connections of clients, of the platform's readiness probe and of metrics readers.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -27,20 +27,20 @@
 use crate::shared::ServeShared;
 use crate::traffic::Traffic;
 
-/// Pause after a connection could not be taken, for example for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failure to accept a connection, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest pause between two turns.
-const TURN_PAUSE: Duration = Duration::from_millis(400);
+/// Maximum interval between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Takes connections until `closing` ends, and serves each in a task. `turn` is called each time
-/// that connections are taken, or could be if there were one.
-pub(crate) async fn accept_links<F, Fut>(
+/// Accepts connections until `closing` is closed, and serves each in a task. Calls `beat` whenever
+/// a connection was accepted or the accept loop found none for a while.
+pub(crate) async fn accept_connections<F, Fut>(
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
     limits: impl Fn() -> ClientLimits + Clone + 'static,
     closing: Receiver<()>,
-    turn: impl Fn(),
+    beat: impl Fn(),
     handler: F,
 ) where
     F: Fn(Request<Incoming>) -> Fut + 'static,
@@ -49,33 +49,33 @@
     let handler = Rc::new(handler);
     loop {
         let over = async {
-            Timer::after(TURN_PAUSE).await;
+            Timer::after(HEARTBEAT_INTERVAL).await;
             None
         };
         let accepted = async { Some(listener.accept().await) };
         let stream = match accepted.or(over).await {
             None => {
-                turn();
+                beat();
                 continue;
             }
             Some(Ok((stream, _))) => {
-                turn();
+                beat();
                 stream
             }
             Some(Err(error)) => {
-                log::warn!("a connection can't be taken: {error}");
-                Timer::after(ACCEPT_PAUSE).await;
+                log::warn!("failed to accept a connection: {error}");
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         let limits = limits.clone();
-        let limits = move || link_limits(&limits());
+        let limits = move || connection_limits(&limits());
         let serve = serve_client(stream, limits, closing.clone(), handler.clone());
         executor.spawn(serve).detach();
     }
 }
 
-fn link_limits(limits: &ClientLimits) -> ConnectionLimits {
+fn connection_limits(limits: &ClientLimits) -> ConnectionLimits {
     ConnectionLimits {
         max_header_bytes: limits.max_header_bytes,
         header_timeout: limits.header_timeout,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Answers a client. While the node stops, each answer closes its connection.
+/// Answers a client. While the node stops, each response closes its connection.
 pub(crate) async fn handle_client(
     traffic: Rc<Traffic>,
     request: Request<Incoming>,
@@ -96,8 +96,8 @@
     answer
 }
 
-/// Answers the platform's question whether new connections should come here.
-pub(crate) fn answer_probe(
+/// Answers the platform's readiness probe.
+pub(crate) fn answer_readiness(
     shared: &ServeShared,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
@@ -112,7 +112,7 @@
     plain_answer(status, Bytes::new())
 }
 
-/// Answers a reader of metrics.
+/// Answers a metrics reader.
 pub(crate) fn answer_metrics(
     shared: &ServeShared,
     request: Request<Incoming>,
--- a/packages/turnford-serve/src/control.rs
+++ b/packages/turnford-serve/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: the configuration, the targets and the other nodes.
+//! The control thread: follows the configuration, the targets and the other nodes.
 
 mod config;
 mod context;
@@ -19,33 +19,33 @@
 
 use turnford_policy::ClientLimits;
 
-use crate::accept::accept_links;
+use crate::accept::accept_connections;
 use crate::accept::answer_metrics;
-use crate::accept::answer_probe;
+use crate::accept::answer_readiness;
 use crate::shared::ServeShared;
 use context::ControlContext;
 
-/// Largest head of a probe or a reader of metrics, in bytes.
-const HEAD_LIMIT: usize = 8192;
+/// Maximum header size of a probe or a metrics request, in bytes.
+const MAX_HEADER_BYTES: usize = 8192;
 
 fn probe_limits() -> ClientLimits {
     ClientLimits {
-        max_header_bytes: HEAD_LIMIT,
+        max_header_bytes: MAX_HEADER_BYTES,
         ..ClientLimits::default()
     }
 }
 
 /// Listeners of the control thread.
 pub(crate) struct ControlListeners {
-    /// For the platform's readiness probe.
+    /// Accepts the platform's readiness probe.
     pub(crate) ready: TcpListener,
-    /// For readers of metrics.
+    /// Accepts metrics readers.
     pub(crate) metrics: TcpListener,
-    /// For other nodes.
+    /// Accepts other nodes.
     pub(crate) inner: TcpListener,
 }
 
-/// Runs all control work of a node until `stop` ends.
+/// Runs the control tasks of a node until `stop` completes.
 pub(crate) fn run_control(
     shared: Arc<ServeShared>,
     listeners: ControlListeners,
@@ -57,10 +57,10 @@
     let (_open, closing) = async_channel::bounded::<()>(1);
     let probed = shared.clone();
     let answer = move |request| {
-        let answer = answer_probe(&probed, request);
+        let answer = answer_readiness(&probed, request);
         async move { answer }
     };
-    let probes = accept_links(
+    let probes = accept_connections(
         executor.clone(),
         listeners.ready,
         probe_limits,
@@ -73,7 +73,7 @@
         let answer = answer_metrics(&shared, request);
         async move { answer }
     };
-    let readers = accept_links(
+    let readers = accept_connections(
         executor.clone(),
         listeners.metrics,
         probe_limits,
--- a/packages/turnford-serve/src/control/members.rs
+++ b/packages/turnford-serve/src/control/members.rs
@@ -278,7 +278,7 @@
         publish(&context);
         context
             .shared
-            .has_asked_members
+            .has_queried_members
             .store(true, Ordering::SeqCst);
         let Err(fault) = tried else {
             context.registered_era.set(Some(context.era()));
--- a/packages/turnford-serve/src/control/source.rs
+++ b/packages/turnford-serve/src/control/source.rs
@@ -75,7 +75,7 @@
 
 /// Follows the configuration and the targets for as long as the node runs.
 pub(super) async fn follow_view(context: Rc<ControlContext>) {
-    while !context.shared.has_asked_members.load(Ordering::SeqCst)
+    while !context.shared.has_queried_members.load(Ordering::SeqCst)
         && context.now() < MEMBER_PATIENCE
     {
         Timer::after(MEMBER_PAUSE).await;
@@ -206,5 +206,5 @@
         let names = near.map(|member| &*member.name).chain([own]);
         return choose_watchers(hall, &names.collect::<Vec<&str>>());
     }
-    choose_watchers(hall, &context.shared.settled_names(near))
+    choose_watchers(hall, &context.shared.duty_eligible_names(near))
 }
--- a/packages/turnford-serve/src/control/suspend.rs
+++ b/packages/turnford-serve/src/control/suspend.rs
@@ -31,7 +31,7 @@
         Timer::after(LOOK_PAUSE).await;
         if let Some(slept) = watch.check(boot_time(), monotonic_time()) {
             log::warn!("the machine was suspended for {}ms", slept.as_millis());
-            context.shared.has_slept.store(true, Ordering::SeqCst);
+            context.shared.was_suspended.store(true, Ordering::SeqCst);
             woken_at = Some(context.now());
         }
         if woken_at.is_some_and(|at| is_confirmed(&context, at)) {
@@ -39,7 +39,7 @@
                 "awake: what is known is {}ms old",
                 context.view_age().as_millis()
             );
-            context.shared.has_slept.store(false, Ordering::SeqCst);
+            context.shared.was_suspended.store(false, Ordering::SeqCst);
             woken_at = None;
         }
     }
--- a/packages/turnford-serve/src/control/view.rs
+++ b/packages/turnford-serve/src/control/view.rs
@@ -49,7 +49,7 @@
 /// Asks another node for what it knows, so that a node that starts while the store holds an older copy
 /// does not put that into force.
 pub(super) async fn learn_view(context: Rc<ControlContext>) {
-    while !context.shared.has_asked_members.load(Ordering::SeqCst) {
+    while !context.shared.has_queried_members.load(Ordering::SeqCst) {
         Timer::after(START_PAUSE).await;
     }
     let peers = context.members.borrow_mut().sample(START_TRIES);
@@ -59,7 +59,10 @@
             Err(fault) => log::info!("peer {} was asked at the start: {fault}", peer.address),
         }
     }
-    context.shared.knows_view.store(true, Ordering::SeqCst);
+    context
+        .shared
+        .has_view_snapshot
+        .store(true, Ordering::SeqCst);
 }
 
 /// Asks a peer for what it knows more, waiting for something new for so long.
--- a/packages/turnford-serve/src/crash_updates.rs
+++ b/packages/turnford-serve/src/crash_updates.rs
@@ -148,7 +148,7 @@
     let table = traffic.crashes.table.borrow();
     let metrics = &traffic.shared.metrics;
     metrics.suspects.set(table.len() as u64);
-    metrics.crashing.set(table.refused_count() as u64);
+    metrics.refused_suspects.set(table.refused_count() as u64);
 }
 
 /// Syncs with one node in both directions. Returns `false` if it did not reply.
@@ -177,7 +177,7 @@
 /// Requests crash records from another node, so that a starting node does not run requests that are
 /// known to crash targets.
 pub(crate) async fn pull_initial_crashes(traffic: Rc<Traffic>) {
-    while !traffic.shared.has_asked_members.load(Ordering::SeqCst) {
+    while !traffic.shared.has_queried_members.load(Ordering::SeqCst) {
         Timer::after(MEMBER_POLL_INTERVAL).await;
     }
     apply_stored(&traffic);
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -1,8 +1,10 @@
-//! Targets that say in an answer that they leave, whatever their entries say.
+//! Targets that announce in a response that they leave, whatever their store entries say.
 //!
-//! The store may be silent or behind for longer than such a target still runs. The node that heard the
-//! word takes it at once, tells those that place and gather for the service, and some others, which pass
-//! it on. It ends with the target's process, or when the target says that it stays.
+//!
+//! The store may be silent or behind for longer than such a target keeps running. A node that
+//! receives the announcement applies it immediately and notifies the nodes that place requests and
+//! gather pieces for the service, and a sample of others, which forward it. It applies until the
+//! target's process ends or the target reports that it stays.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,89 +29,91 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Time in which words are gathered: the targets of a rack leave together.
-const GATHER_PAUSE: Duration = Duration::from_millis(5);
+/// Time for which announcements are batched: the targets of a rack leave together.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// Most words of one message.
-const NEWS_LIMIT: usize = 256;
+/// Maximum number of announcements in one message.
+const MAX_UPDATES: usize = 256;
 
-/// Pause between looks for targets to be asked whether they stay.
-const ASK_PAUSE: Duration = Duration::from_secs(1);
+/// Interval for checking which leaving targets are due for a probe.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Longest wait for that answer. It waits for a place at the target, as a request does.
-const ASK_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of that probe. It has to wait for a slot on the target, as a request does.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for a call where the target has a limit.
-const PERMIT_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum wait for a permit if the target has a limit.
+const PERMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest body of that answer, in bytes.
-const ANSWER_LIMIT: usize = 16 * 1024;
+/// Maximum size of the probe's response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
-/// Words of targets that are not told yet.
+/// Announcements that have not been sent to other nodes yet.
 pub(crate) type LeavingQueue = UpdateQueue<LeavingUpdate>;
 
-/// Notes that a target said in an answer to this node that it leaves, and tells others.
+/// Applies the announcement of a target in a response to this node, and notifies other nodes.
 pub(crate) fn process_leaving(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     target: &TargetSpec,
 ) {
-    let news = LeavingUpdate {
+    let update = LeavingUpdate {
         service: target.service.to_string(),
         target: target.id.to_string(),
         process_start: target.process_start,
     };
-    if take_leaving(traffic, desk, &news, "an answer to this node") {
-        tell_leaving(traffic, vec![news]);
+    if apply_leaving(traffic, context, &update, "an answer to this node") {
+        notify_leaving(traffic, vec![update]);
     }
 }
 
-/// Takes a target's word; true if it is new here.
-fn take_leaving(
+/// Applies an announcement. Returns `true` if it is new to this node.
+fn apply_leaving(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
-    news: &LeavingUpdate,
+    context: &Rc<ServiceContext>,
+    update: &LeavingUpdate,
     source: &str,
 ) -> bool {
     let now = traffic.shared.now();
-    let mut board = desk.targets.borrow_mut();
-    if !board.record_leaving(now, &news.target, news.process_start) {
+    let mut table = context.targets.borrow_mut();
+    if !table.record_leaving(now, &update.target, update.process_start) {
         return false;
     }
-    drop(board);
+    drop(table);
     log::info!(
-        "target={} says that it leaves: service={} born={} from={source}",
-        news.target,
-        news.service,
-        news.process_start
+        "target={} announces that it leaves: service={} born={} from={source}",
+        update.target,
+        update.service,
+        update.process_start
     );
-    traffic.refresh_pieces(desk);
+    traffic.refresh_pieces(context);
     true
 }
 
-fn tell_leaving(traffic: &Rc<Traffic>, news: Vec<LeavingUpdate>) {
-    if traffic.leaving.add(news) {
-        let tell = send_pending(traffic.clone());
-        traffic.executor.spawn(tell).detach();
+fn notify_leaving(traffic: &Rc<Traffic>, updates: Vec<LeavingUpdate>) {
+    if traffic.leaving.add(updates) {
+        let send = send_pending(traffic.clone());
+        traffic.executor.spawn(send).detach();
     }
 }
 
 async fn send_pending(traffic: Rc<Traffic>) {
-    Timer::after(GATHER_PAUSE).await;
-    let news = traffic.leaving.take();
-    for part in news.chunks(NEWS_LIMIT) {
-        let doers = doers_of(&traffic, part);
-        let request = WorkRequest::Leaving(part.to_vec());
-        notify_peers(&traffic.peers, doers, &request);
+    Timer::after(BATCH_DELAY).await;
+    let updates = traffic.leaving.take();
+    for chunk in updates.chunks(MAX_UPDATES) {
+        let owners = owners_of(&traffic, chunk);
+        let request = WorkRequest::Leaving(chunk.to_vec());
+        notify_peers(&traffic.peers, owners, &request);
         notify_sample(&traffic.peers, &request);
     }
 }
 
-/// Returns the nodes that choose targets of these services for others.
-fn doers_of(traffic: &Rc<Traffic>, news: &[LeavingUpdate]) -> BTreeSet<SocketAddr> {
-    let services: BTreeSet<&str> = news.iter().map(|news| &*news.service).collect();
+/// Returns the nodes that choose targets of these services for other nodes.
+fn owners_of(traffic: &Rc<Traffic>, updates: &[LeavingUpdate]) -> BTreeSet<SocketAddr> {
+    let services: BTreeSet<&str> = updates.iter().map(|update| &*update.service).collect();
     let duties = services.into_iter().flat_map(|service| {
-        let cells = traffic.service(service).map_or(0, |desk| desk.cell_count());
+        let cells = traffic
+            .service(service)
+            .map_or(0, |context| context.cell_count());
         let gathers = (0..cells).map(move |cell| Duty::Gather(service.to_owned(), cell));
         gathers.chain([Duty::Place(service.to_owned())])
     });
@@ -118,77 +122,80 @@
         .collect()
 }
 
-/// Takes another node's news, and passes on what is new.
-pub(crate) fn answer_leaving(traffic: &Rc<Traffic>, news: Vec<LeavingUpdate>) -> WorkReply {
-    let is_new = |news: &LeavingUpdate| {
-        let desk = traffic.service(&news.service);
-        desk.is_some_and(|desk| take_leaving(traffic, &desk, news, "another node"))
+/// Applies another node's announcements and forwards those that are new.
+pub(crate) fn answer_leaving(traffic: &Rc<Traffic>, updates: Vec<LeavingUpdate>) -> WorkReply {
+    let is_new = |update: &LeavingUpdate| {
+        let context = traffic.service(&update.service);
+        context.is_some_and(|context| apply_leaving(traffic, &context, update, "another node"))
     };
-    let new: Vec<LeavingUpdate> = news.into_iter().filter(is_new).collect();
+    let new: Vec<LeavingUpdate> = updates.into_iter().filter(is_new).collect();
     if !new.is_empty() {
-        tell_leaving(traffic, new);
+        notify_leaving(traffic, new);
     }
     WorkReply::Ack
 }
 
-/// Asks targets that said that they leave, and are still listed as ready long after, whether they stay,
-/// for as long as the node runs.
-pub(crate) async fn ask_leaving(traffic: Rc<Traffic>) {
-    let later = traffic.random();
+/// Probes targets that announced that they leave but are still listed as ready long afterwards, for
+/// as long as the node runs.
+pub(crate) async fn probe_leaving(traffic: Rc<Traffic>) {
+    let jitter = traffic.random();
     loop {
-        Timer::after(ASK_PAUSE).await;
+        Timer::after(PROBE_INTERVAL).await;
         let now = traffic.shared.now();
-        for desk in traffic.all_services() {
-            let due = desk.targets.borrow_mut().take_due_probes(now, later);
+        for context in traffic.all_services() {
+            let due = context.targets.borrow_mut().take_due_probes(now, jitter);
             for target in due {
-                let ask = ask_target(traffic.clone(), desk.clone(), target);
-                traffic.executor.spawn(ask).detach();
+                let probe = probe_target(traffic.clone(), context.clone(), target);
+                traffic.executor.spawn(probe).detach();
             }
         }
     }
 }
 
-async fn ask_target(traffic: Rc<Traffic>, desk: Rc<ServiceContext>, target: TargetSpec) {
-    let until = traffic.shared.now() + PERMIT_LIMIT;
-    if !desk.limits.wait_permit(&target, until).await {
-        log::info!("target={} has no call for a question", target.id);
+async fn probe_target(traffic: Rc<Traffic>, context: Rc<ServiceContext>, target: TargetSpec) {
+    let until = traffic.shared.now() + PERMIT_TIMEOUT;
+    if !context.limits.wait_permit(&target, until).await {
+        log::info!("target={} gets no probe: no permit in time", target.id);
         return;
     }
-    let stays = read_health(&traffic, &desk, &target).await;
-    log::info!("target={} was asked whether it stays: {stays:?}", target.id);
+    let stays = read_health(&traffic, &context, &target).await;
+    log::info!(
+        "target={} probed for whether it stays: {stays:?}",
+        target.id
+    );
     if stays == Ok(true) {
-        desk.targets
+        context
+            .targets
             .borrow_mut()
             .record_active(&target.id, target.process_start);
-        traffic.refresh_pieces(&desk);
+        traffic.refresh_pieces(&context);
     }
 }
 
-/// Asks a target whether it is well and does not leave.
-/// Asks a target how it is, so that it says what it wants said.
+/// Probes a target so that its response carries the signals that it currently sends.
 pub(crate) async fn probe_health(
     traffic: Rc<Traffic>,
-    desk: Rc<ServiceContext>,
+    context: Rc<ServiceContext>,
     target: TargetSpec,
 ) {
-    let end = read_health(&traffic, &desk, &target).await;
-    log::info!("target={} was asked how it is: {end:?}", target.id);
+    let outcome = read_health(&traffic, &context, &target).await;
+    log::info!("target={} probed for its health: {outcome:?}", target.id);
 }
 
 async fn read_health(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     target: &TargetSpec,
 ) -> Result<bool, CallError> {
-    let path = desk.spec.borrow().health_path.clone();
+    let path = context.spec.borrow().health_path.clone();
     let host = target.address.to_string();
-    let request = encode_health(&path, &host, &target.id).map_err(|problem| {
-        log::error!("target={} can't be asked: {problem}", target.id);
-        CallError::NotSent("the question can't be written down")
+    let request = encode_health(&path, &host, &target.id).map_err(|error| {
+        log::error!("target={} can't be probed: {error}", target.id);
+        CallError::NotSent("the health request can't be encoded")
     })?;
     let purpose = CallPurpose::Maintenance;
-    let answer = call_target(traffic, desk, target, request, purpose, ASK_LIMIT).await?;
+    let answer = call_target(traffic, context, target, request, purpose, PROBE_TIMEOUT).await?;
     let is_well = answer.parts.status.is_success() && !answer.leaves;
-    answer.collect(traffic, ANSWER_LIMIT).await?;
+    answer.collect(traffic, MAX_RESPONSE_BYTES).await?;
     Ok(is_well)
 }
--- a/packages/turnford-serve/src/lib.rs
+++ b/packages/turnford-serve/src/lib.rs
@@ -1,7 +1,8 @@
 //! The node that serves routes: clients on one side, targets and the platform's store on the other.
 //!
-//! One thread follows the store and the other nodes; one serves requests from snapshots of what
-//! the first knows.
+//!
+//! The control thread follows the store and the other nodes. The traffic thread serves requests
+//! from snapshots of the control thread's knowledge.
 
 mod accept;
 mod admission;
--- a/packages/turnford-serve/src/limit_sync.rs
+++ b/packages/turnford-serve/src/limit_sync.rs
@@ -31,7 +31,7 @@
 const START_PERIOD: Duration = Duration::from_secs(5);
 
 /// Maintains the limits for as long as the node runs.
-pub(crate) async fn follow_limits(traffic: Rc<Traffic>) {
+pub(crate) async fn maintain_limits(traffic: Rc<Traffic>) {
     loop {
         Timer::after(SYNC_INTERVAL).await;
         for context in traffic.all_services() {
--- a/packages/turnford-serve/src/metrics.rs
+++ b/packages/turnford-serve/src/metrics.rs
@@ -14,13 +14,13 @@
 
 use turnford_policy::ResultCode;
 
-/// Smallest bucket of time histograms, in seconds.
+/// Upper bound of the smallest bucket of time histograms, in seconds.
 const SMALLEST_BUCKET: f64 = 0.005;
 
-/// Buckets of time histograms, each twice the one before.
+/// Number of buckets of time histograms; each is twice as wide as the one before.
 const BUCKET_COUNT: u16 = 13;
 
-/// Labels of a request's end. Accounts and routes are those of the configuration, so the set is
+/// Labels of a request's end. Accounts and ranks come from the configuration, so their set is
 /// bounded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct EndLabels {
@@ -29,48 +29,48 @@
     code: u32,
 }
 
-/// Labels of a request's time to its first byte.
+/// Labels of a request's latency.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ClassLabels {
     account: String,
     rank: u32,
 }
 
-/// Labels of what is counted for a service.
+/// Labels of a service's events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ServiceLabels {
     service: String,
     event: &'static str,
 }
 
-/// Things that are counted for a service.
+/// Events that are counted per service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ServiceEvent {
-    /// A request went to a target.
+    /// A request was sent to a target for the first time.
     Sent,
-    /// It went to one more target.
+    /// A request was sent to one more target.
     Repeated,
-    /// A repeat was not made, since the window had no room.
+    /// A retry was denied because the retry budget of the window was used up.
     RepeatDenied,
-    /// A target turned a call away.
+    /// A target refused a call without running it.
     NotRun,
-    /// An answer did not come, broke off or made no sense.
+    /// A response was missing, truncated or malformed.
     CallFailed,
-    /// An answer belonged to another request.
+    /// A response belonged to another request.
     AttemptMismatch,
     /// A connection was opened.
     Connected,
-    /// A call of pieces was made.
+    /// A call with a batch of pieces was sent.
     Batch,
-    /// A target said in an answer that it leaves.
+    /// A target announced in a response that it leaves.
     AnnouncedLeaving,
-    /// A target turned a call away and asked for rest.
+    /// A target refused a call and requested a backoff.
     RequestedBackoff,
-    /// A target named in an answer a limit for all nodes together.
+    /// A target announced in a response a limit for all nodes together.
     AnnouncedLimit,
-    /// This node got a permit for a call to such a target.
+    /// This node acquired a permit for a call to a limited target.
     Permit,
-    /// A call was not made for want of one.
+    /// A call was not sent because no permit was available.
     Limited,
 }
 
@@ -98,24 +98,24 @@
 pub(crate) struct ServeMetrics {
     registry: Registry,
     ends: Family<EndLabels, Counter>,
-    head_time: Family<ClassLabels, Histogram, fn() -> Histogram>,
-    whole_time: Family<ClassLabels, Histogram, fn() -> Histogram>,
+    first_byte_time: Family<ClassLabels, Histogram, fn() -> Histogram>,
+    request_time: Family<ClassLabels, Histogram, fn() -> Histogram>,
     services: Family<ServiceLabels, Counter>,
     pub(crate) running: Gauge<u64, AtomicU64>,
     pub(crate) config_version: Gauge<u64, AtomicU64>,
     pub(crate) targets: Gauge<u64, AtomicU64>,
     pub(crate) members: Gauge<u64, AtomicU64>,
     pub(crate) store_calls: Gauge<u64, AtomicU64>,
-    /// Bytes of answers of the store and of other nodes that were given up before their end.
+    /// Bytes of responses of the store and of other nodes that were abandoned before their end.
     pub(crate) abandoned_bytes: Counter,
-    /// Crashes of targets under requests of this node.
+    /// Crashes of targets during requests of this node.
     pub(crate) target_crashes: Counter,
-    /// Requests under which targets crashed that this node knows, and those of them that are refused.
+    /// Known requests during which targets crashed, and those of them that are refused.
     pub(crate) suspects: Gauge<u64, AtomicU64>,
-    pub(crate) crashing: Gauge<u64, AtomicU64>,
-    /// Targets whose calls need permits, as this node knows them.
+    pub(crate) refused_suspects: Gauge<u64, AtomicU64>,
+    /// Targets whose calls need permits, as known to this node.
     pub(crate) limited_targets: Gauge<u64, AtomicU64>,
-    /// Calls a second that this node gives out to all nodes, and requests that wait for them.
+    /// Calls per second that this node allocates to all nodes, and requests queued for them.
     pub(crate) limit_rate: Gauge<f64, AtomicU64>,
     pub(crate) limit_queue: Gauge<u64, AtomicU64>,
     pub(crate) log_drops: Gauge<u64, AtomicU64>,
@@ -126,8 +126,8 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("turnford"),
             ends: Family::default(),
-            head_time: Family::new_with_constructor(time_histogram),
-            whole_time: Family::new_with_constructor(time_histogram),
+            first_byte_time: Family::new_with_constructor(time_histogram),
+            request_time: Family::new_with_constructor(time_histogram),
             services: Family::default(),
             running: Gauge::default(),
             config_version: Gauge::default(),
@@ -137,7 +137,7 @@
             abandoned_bytes: Counter::default(),
             target_crashes: Counter::default(),
             suspects: Gauge::default(),
-            crashing: Gauge::default(),
+            refused_suspects: Gauge::default(),
             limited_targets: Gauge::default(),
             limit_rate: Gauge::default(),
             limit_queue: Gauge::default(),
@@ -157,12 +157,12 @@
         registry.register(
             "head_seconds",
             "Time until the first byte of an answer",
-            self.head_time.clone(),
+            self.first_byte_time.clone(),
         );
         registry.register(
             "request_seconds",
             "Time until a request ended",
-            self.whole_time.clone(),
+            self.request_time.clone(),
         );
         registry.register(
             "service_events",
@@ -200,7 +200,7 @@
         registry.register(
             "refused_requests",
             "Of these, requests that are refused since they crash targets",
-            self.crashing.clone(),
+            self.refused_suspects.clone(),
         );
         registry.register(
             "limited_targets",
@@ -224,7 +224,7 @@
         );
     }
 
-    /// Counts the end of a request.
+    /// Records the end of a request.
     pub(crate) fn record_end(&self, account: &str, rank: u8, code: ResultCode, time: Duration) {
         let labels = EndLabels {
             account: account.to_owned(),
@@ -233,18 +233,18 @@
         };
         self.ends.get_or_create(&labels).inc();
         let class = class_labels(account, rank);
-        let histogram = self.whole_time.get_or_create(&class);
+        let histogram = self.request_time.get_or_create(&class);
         histogram.observe(time.as_secs_f64());
     }
 
-    /// Counts the time until the first byte of an answer.
+    /// Records the time until the first byte of a response.
     pub(crate) fn record_first_byte(&self, account: &str, rank: u8, time: Duration) {
         let class = class_labels(account, rank);
-        let histogram = self.head_time.get_or_create(&class);
+        let histogram = self.first_byte_time.get_or_create(&class);
         histogram.observe(time.as_secs_f64());
     }
 
-    /// Counts something that happened with a service.
+    /// Records an event of a service.
     pub(crate) fn record_service_event(&self, service: &str, event: ServiceEvent) {
         let labels = ServiceLabels {
             service: service.to_owned(),
@@ -257,7 +257,7 @@
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         if let Err(error) = encode(&mut text, &self.registry) {
-            log::error!("metrics can't be written: {error}");
+            log::error!("failed to encode metrics: {error}");
         }
         text
     }
--- a/packages/turnford-serve/src/node.rs
+++ b/packages/turnford-serve/src/node.rs
@@ -24,14 +24,14 @@
 use turnford_policy::SystemClock;
 use turnford_policy::ThreadHeartbeat;
 
-use crate::accept::accept_links;
+use crate::accept::accept_connections;
 use crate::accept::handle_client;
 use crate::control::run_control;
 use crate::control::ControlListeners;
 use crate::crash_updates::pull_initial_crashes;
 use crate::crash_updates::sync_crashes;
-use crate::leaving::ask_leaving;
-use crate::limit_sync::follow_limits;
+use crate::leaving::probe_leaving;
+use crate::limit_sync::maintain_limits;
 use crate::metrics::ServeMetrics;
 use crate::shared::RouteView;
 use crate::shared::ServeShared;
@@ -41,34 +41,36 @@
 use crate::traffic::Traffic;
 use crate::work::serve_work;
 
-/// Pause between looks whether running requests ended.
-const DRAIN_PAUSE: Duration = Duration::from_millis(20);
+/// Interval for polling whether running requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time that the platform takes to stop sending new connections: it asks every second and needs
-/// two answers.
-const SETTLE_SPAN: Duration = Duration::from_millis(2500);
+/// Time until the platform stops sending new connections: it probes every second and needs two
+/// failed probes.
+const READINESS_DELAY: Duration = Duration::from_millis(2500);
 
-/// Time in which the last answers reach their clients after idle connections were told to close.
-const FLUSH_SPAN: Duration = Duration::from_millis(100);
+/// Time for the last responses to reach their clients after idle connections were told to close.
+const FLUSH_DELAY: Duration = Duration::from_millis(100);
 
 /// A running node that serves routes.
 pub struct ServeNode {
     shared: Arc<ServeShared>,
-    /// Closed to close the connections of clients after their answers.
+    /// Closed to close the connections of clients after their responses.
     closing: Sender<()>,
-    /// Closed to end requests that no target has.
+    /// Closed to end requests that are not running on a target.
     ending: Sender<()>,
-    /// Dropped to end the threads.
+    /// Closed or dropped to end the threads.
     stop: Sender<()>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl ServeNode {
-    /// Starts a node. Port 0 lets the system choose; [`ServeNode::settings`] tells which.
+    /// Starts a node. Port 0 lets the system choose a port, which [`ServeNode::settings`] returns.
+    ///
     ///
     /// # Errors
     ///
-    /// Returns the system's error if an address can't be bound or a thread not started.
+    ///
+    /// Returns the system's error if an address can't be bound or a thread can't be started.
     pub fn start(mut settings: ServeSettings) -> io::Result<Self> {
         let listener = bind_listener(settings.listen)?;
         let listeners = ControlListeners {
@@ -86,17 +88,17 @@
         let shared = Arc::new(ServeShared {
             settings,
             clock: Arc::new(SystemClock::new()),
-            started: time_of_day(),
+            started: unix_time_ms(),
             view: ArcSwap::from_pointee(RouteView::default()),
             changes,
             draining: AtomicBool::new(false),
-            stop_begun: AtomicU64::new(0),
-            turns: ThreadHeartbeat::default(),
-            has_asked_members: AtomicBool::new(false),
+            stop_started_at: AtomicU64::new(0),
+            heartbeat: ThreadHeartbeat::default(),
+            has_queried_members: AtomicBool::new(false),
             has_crash_snapshot: AtomicBool::new(false),
-            knows_view: AtomicBool::new(false),
+            has_view_snapshot: AtomicBool::new(false),
             suspects: SuspectChannel::default(),
-            has_slept: AtomicBool::new(false),
+            was_suspended: AtomicBool::new(false),
             running: AtomicU64::new(0),
             metrics: ServeMetrics::new(),
         });
@@ -142,44 +144,45 @@
         &self.shared.settings
     }
 
-    /// Tells whether the node takes requests.
+    /// Returns whether the node accepts requests.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Returns the counter of log lines that were dropped, to be kept up to date by the logger.
+    /// Sets the metric of log lines that the logger dropped.
     pub fn set_log_drops(&self, drops: u64) {
         self.shared.metrics.log_drops.set(drops);
     }
 
-    /// Stops as planned: says that it takes no new connections, serves what still comes, and
-    /// returns how many requests still ran at the end of the grace time.
+    /// Stops as planned: reports the node as not ready, serves the requests that still arrive, and
+    /// returns how many were still running at the end of the grace time.
     pub async fn drain(&self) -> u64 {
-        log::info!("stop begins: no new connections");
+        log::info!("planned stop started: not ready for new connections");
         self.shared.begin_stop();
-        // The traffic thread hands its duties over; a full channel holds a wake-up already.
+        // Wakes the traffic thread, which hands its duties over. A full channel already holds a
+        // wake-up.
         let _ = self.shared.changes.try_send(());
-        let begun = self.shared.now();
-        let latest = self.shared.exit_deadline().unwrap_or(begun);
-        let settled = (begun + SETTLE_SPAN).min(latest);
+        let started_at = self.shared.now();
+        let deadline = self.shared.exit_deadline().unwrap_or(started_at);
+        let settled = (started_at + READINESS_DELAY).min(deadline);
         loop {
             let running = self.shared.running.load(Ordering::SeqCst);
             let now = self.shared.now();
             if now >= settled {
-                // Idle connections close; the others do after their answers.
+                // Idle connections close now, the others after their responses.
                 self.closing.close();
             }
-            if now >= latest || (running == 0 && now >= settled) {
+            if now >= deadline || (running == 0 && now >= settled) {
                 break;
             }
-            Timer::after(DRAIN_PAUSE).await;
+            Timer::after(DRAIN_POLL_INTERVAL).await;
         }
         self.ending.close();
-        Timer::after(FLUSH_SPAN).await;
+        Timer::after(FLUSH_DELAY).await;
         self.shared.running.load(Ordering::SeqCst)
     }
 
-    /// Ends the node's threads at once. Requests that still run are cut; a planned stop calls
+    /// Ends the node's threads immediately. Requests that still run are cut; a planned stop calls
     /// [`ServeNode::drain`] first.
     pub fn stop(mut self) {
         self.stop.close();
@@ -191,8 +194,8 @@
     }
 }
 
-/// Returns the time of day in milliseconds; a clock before 1970 counts as 1970.
-fn time_of_day() -> u64 {
+/// Returns the time of day in milliseconds since 1970, or 0 if the clock is set before that.
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.map_or(0, |since| since.as_millis());
     u64::try_from(millis).unwrap_or(u64::MAX)
@@ -203,29 +206,29 @@
 }
 
 async fn wait_stop(stopped: Receiver<()>) {
-    // Nothing is ever sent; the channel's end is the word.
+    // Nothing is ever sent; the closed channel is the signal.
     let _ = stopped.recv().await;
 }
 
 /// Listeners of the traffic thread.
 struct TrafficListeners {
-    /// For clients.
+    /// Accepts clients.
     listener: TcpListener,
-    /// For other nodes' work.
+    /// Accepts work from other nodes.
     work: TcpListener,
 }
 
-/// What the traffic thread is told.
+/// Signals to the traffic thread.
 struct TrafficSignals {
-    /// A message for each change of the view.
+    /// Receives a message for each change of the view.
     changed: Receiver<()>,
-    /// Ends when connections of clients are to close.
+    /// Closed when connections of clients have to close.
     closing: Receiver<()>,
-    /// Ends when the process is about to end.
+    /// Closed when the process is about to end.
     ending: Receiver<()>,
 }
 
-/// Serves clients and other nodes' work on this thread until `stop` ends.
+/// Serves clients and other nodes on this thread until `stop` completes.
 fn run_traffic(
     shared: Arc<ServeShared>,
     listeners: TrafficListeners,
@@ -247,16 +250,16 @@
         .spawn(pull_initial_crashes(traffic.clone()))
         .detach();
     executor.spawn(sync_crashes(traffic.clone())).detach();
-    executor.spawn(ask_leaving(traffic.clone())).detach();
-    executor.spawn(follow_limits(traffic.clone())).detach();
+    executor.spawn(probe_leaving(traffic.clone())).detach();
+    executor.spawn(maintain_limits(traffic.clone())).detach();
     let listener = listeners.listener;
     let limiting = traffic.clone();
     let limits = move || limiting.current_view().config.limits;
-    let turning = traffic.shared.clone();
-    let turn = move || turning.turns.beat(turning.now());
+    let beating = traffic.shared.clone();
+    let beat = move || beating.heartbeat.beat(beating.now());
     let handler = move |request| handle_client(traffic.clone(), request);
     let closing = signals.closing;
-    let accept = accept_links(executor.clone(), listener, limits, closing, turn, handler);
+    let accept = accept_connections(executor.clone(), listener, limits, closing, beat, handler);
     executor.spawn(accept).detach();
     async_io::block_on(executor.run(stop));
 }
--- a/packages/turnford-serve/src/peers.rs
+++ b/packages/turnford-serve/src/peers.rs
@@ -1,4 +1,5 @@
-//! The other nodes: who of them does a duty, calls to them, and what is known of their silence.
+//! The other nodes as seen by the traffic thread: assignment of duties, calls, and detection of
+//! nodes that do not respond.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -23,27 +24,29 @@
 
 use crate::shared::ServeShared;
 
-/// Silence of a node with work of ours after which it is asked whether it is there.
+/// Silence of a node with pending calls after which it is probed.
 pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Longest wait for that answer.
+/// Timeout of that probe.
 pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for which a node that did not answer gets no work. Its own probes find out meanwhile.
-const DOWN_SPAN: Duration = Duration::from_secs(3);
+/// Time for which a node that did not respond gets no work. Its failure is detected by the
+/// membership probes in the meantime.
+const DOWN_PERIOD: Duration = Duration::from_secs(3);
 
-/// What is known of another node that got work.
+/// State of another node that has been called.
 #[derive(Default)]
 pub(crate) struct PeerState {
     pub(crate) last_contact: Cell<Moment>,
-    /// Calls that wait for it.
+    /// Number of calls that are waiting for the node.
     waiting: Cell<usize>,
-    is_watched: Cell<bool>,
-    /// Whether it is being found out whether it is there.
+    is_monitored: Cell<bool>,
+    /// Whether a probe of the node as an allocator is in progress.
     pub(crate) is_probing: Cell<bool>,
-    /// Until when it counts as silent; what it has of ours goes to another.
+    /// Time until which the node counts as down; its pending work is reassigned.
     pub(crate) down_until: Cell<Moment>,
-    /// Until when it gets no new work. It may finish what it has, as a node that stops does.
+    /// Time until which the node gets no new work. It may finish its pending work, as a stopping
+    /// node does.
     refuses_until: Cell<Moment>,
 }
 
@@ -52,14 +55,14 @@
         self.down_until.get() <= now && self.refuses_until.get() <= now
     }
 
-    /// Notes that another node last_contact of it: it may get work again.
+    /// Makes the node eligible for work again, because another node is in contact with it.
     pub(crate) fn mark_available(&self) {
         self.down_until.set(Moment::ZERO);
         self.refuses_until.set(Moment::ZERO);
     }
 }
 
-/// The calling side of work between nodes; it lives on one thread.
+/// Client side of the work protocol between nodes; used by a single thread.
 pub(crate) struct PeerPool {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) shared: Arc<ServeShared>,
@@ -79,7 +82,7 @@
         })
     }
 
-    /// Returns a number from 0 to below 1.
+    /// Returns a random number in `[0, 1)`.
     pub(crate) fn random(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
@@ -88,7 +91,7 @@
         self.states.borrow_mut().entry(peer).or_default().clone()
     }
 
-    /// Returns the address of the node that does a duty, `None` if it is this one.
+    /// Returns the address of the node that owns a duty, or `None` if that is this node.
     pub(crate) fn owner_of(&self, duty: &Duty) -> Option<SocketAddr> {
         let now = self.shared.now();
         let view = self.shared.view.load();
@@ -98,23 +101,24 @@
             state.is_none_or(|state| state.accepts_work(now))
         };
         let up = view.members.iter().filter(|member| is_up(&member.work));
-        let names = self.shared.settled_names(up);
+        let names = self.shared.duty_eligible_names(up);
         let chosen = rank_members(duty, names.into_iter(), 1).first().copied()?;
         let member = view.members.iter().find(|member| &*member.name == chosen);
         member.map(|member| member.work)
     }
 
-    /// Calls another node; `None`, and no work for it for a while, if it gives no answer.
+    /// Calls another node. If it does not reply or refuses, returns `None` and gives it no work for
+    /// a while.
     pub(crate) async fn call(
         &self,
         peer: SocketAddr,
         request: &WorkRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<WorkReply> {
         let state = self.state(peer);
-        match self.client.call(peer, request, limit).await {
+        match self.client.call(peer, request, timeout).await {
             Ok(WorkReply::Refused) => {
-                log::info!("node at {peer} takes no work");
+                log::info!("node at {peer} refuses work");
                 self.mark_refusing(&state);
                 None
             }
@@ -122,8 +126,8 @@
                 state.last_contact.set(self.shared.now());
                 Some(reply)
             }
-            Err(fault) => {
-                log::info!("node at {peer} gives no answer: {fault}");
+            Err(error) => {
+                log::info!("node at {peer} does not reply: {error}");
                 self.mark_down(&state);
                 None
             }
@@ -132,30 +136,30 @@
 
     /// Gives a node no new work for a while.
     pub(crate) fn mark_refusing(&self, state: &PeerState) {
-        state.refuses_until.set(self.shared.now() + DOWN_SPAN);
+        state.refuses_until.set(self.shared.now() + DOWN_PERIOD);
     }
 
-    /// Gives a node no work for a while, and takes back what it has.
+    /// Gives a node no work for a while, and reassigns its pending work.
     pub(crate) fn mark_down(&self, state: &PeerState) {
-        state.down_until.set(self.shared.now() + DOWN_SPAN);
+        state.down_until.set(self.shared.now() + DOWN_PERIOD);
     }
 
-    /// Returns the addresses of so many other nodes, drawn anew each time.
+    /// Returns the addresses of `count` other nodes, chosen at random.
     pub(crate) fn sample(&self, count: usize) -> Vec<SocketAddr> {
         let view = self.shared.view.load();
         let mut peers: Vec<SocketAddr> = view.members.iter().map(|member| member.work).collect();
         let count = count.min(peers.len());
-        for place in 0..count {
-            let left = peers.len() - place;
-            let drawn = (self.random() * left as f64) as usize;
-            peers.swap(place, place + drawn.min(left - 1));
+        for index in 0..count {
+            let remaining = peers.len() - index;
+            let drawn = (self.random() * remaining as f64) as usize;
+            peers.swap(index, index + drawn.min(remaining - 1));
         }
         peers.truncate(count);
         peers
     }
 }
 
-/// Counts a call that waits for a node, and has the node watched meanwhile.
+/// Counts a call that waits for a node, and has the node monitored in the meantime.
 pub(crate) struct WaitingGuard {
     state: Rc<PeerState>,
 }
@@ -163,10 +167,10 @@
 impl WaitingGuard {
     pub(crate) fn new(peers: &Rc<PeerPool>, peer: SocketAddr, state: &Rc<PeerState>) -> Self {
         state.waiting.set(state.waiting.get() + 1);
-        if !state.is_watched.replace(true) {
+        if !state.is_monitored.replace(true) {
             state.last_contact.set(peers.shared.now());
-            let watch = watch_peer(peers.clone(), peer, state.clone());
-            peers.executor.spawn(watch).detach();
+            let monitor = monitor_peer(peers.clone(), peer, state.clone());
+            peers.executor.spawn(monitor).detach();
         }
         Self {
             state: state.clone(),
@@ -180,8 +184,8 @@
     }
 }
 
-/// Asks a node that has work of ours and says nothing whether it is there.
-async fn watch_peer(peers: Rc<PeerPool>, peer: SocketAddr, state: Rc<PeerState>) {
+/// Probes a silent node for as long as calls wait for it.
+async fn monitor_peer(peers: Rc<PeerPool>, peer: SocketAddr, state: Rc<PeerState>) {
     while state.waiting.get() > 0 {
         Timer::after(SILENCE_TIMEOUT).await;
         let silence = peers.shared.now().saturating_sub(state.last_contact.get());
@@ -193,5 +197,5 @@
             break;
         }
     }
-    state.is_watched.set(false);
+    state.is_monitored.set(false);
 }
--- a/packages/turnford-serve/src/release.rs
+++ b/packages/turnford-serve/src/release.rs
@@ -1,4 +1,5 @@
-//! Results of pieces are given up in calls of many, by the node that gathered them.
+//! Release of piece results at the targets that hold them. The node that gathered the pieces sends
+//! releases in batches.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,62 +20,62 @@
 use crate::traffic::Traffic;
 use crate::wait::wait_until;
 
-/// Time for which results to give up are gathered. Their room is missed meanwhile.
-const GATHER_SPAN: Duration = Duration::from_millis(15);
+/// Time for which releases are batched. The memory of the results stays occupied in the meantime.
+const RELEASE_DELAY: Duration = Duration::from_millis(15);
 
-/// Longest wait for an answer; results that are not given up go by themselves.
-const RELEASE_LIMIT: Duration = Duration::from_millis(1000);
+/// Timeout of a release call. Results that are not released expire on the target.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Longest body of an answer, in bytes.
-const ANSWER_LIMIT: usize = 16 * 1024;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
-/// A result of a piece, and the target that keeps it.
+/// A result of a piece, and the target that holds it.
 #[derive(Clone, Debug)]
 pub(crate) struct PieceResult {
     pub(crate) handle: String,
     pub(crate) producer: TargetSpec,
-    /// Node that gathered the piece, `None` for this one.
+    /// Node that gathered the piece, or `None` for this node.
     pub(crate) gatherer: Option<SocketAddr>,
 }
 
-/// Where results are given up: the target that keeps them, and the node that gathered them.
-type ReleasePlace = (TargetId, Option<SocketAddr>);
+/// Destination of a release: the target that holds the results, and the node that gathered them.
+type ReleaseDestination = (TargetId, Option<SocketAddr>);
 
-/// Results that nobody needs any more.
+/// Results that wait to be released.
 #[derive(Default)]
 pub(crate) struct ResultReleaser {
-    waiting: RefCell<HashMap<ReleasePlace, Vec<PieceResult>>>,
+    waiting: RefCell<HashMap<ReleaseDestination, Vec<PieceResult>>>,
 }
 
 impl ResultReleaser {
-    /// Returns the target that keeps the results of a place.
-    fn producer(&self, place: &ReleasePlace) -> Option<TargetSpec> {
+    /// Returns the target that holds the results of a destination.
+    fn producer(&self, destination: &ReleaseDestination) -> Option<TargetSpec> {
         let waiting = self.waiting.borrow();
-        let first = waiting.get(place).and_then(|results| results.first());
+        let first = waiting.get(destination).and_then(|results| results.first());
         first.map(|result| result.producer.clone())
     }
 }
 
-/// Gives results up, soon.
+/// Schedules the release of results.
 pub(crate) fn release_results(traffic: &Rc<Traffic>, results: Vec<PieceResult>) {
     for result in results {
         let mut waiting = traffic.releaser.waiting.borrow_mut();
-        let place = (result.producer.id.clone(), result.gatherer);
-        let queue = waiting.entry(place.clone()).or_default();
+        let destination = (result.producer.id.clone(), result.gatherer);
+        let queue = waiting.entry(destination.clone()).or_default();
         queue.push(result);
         if queue.len() == 1 {
-            let send = send_release(traffic.clone(), place);
+            let send = send_release(traffic.clone(), destination);
             traffic.executor.spawn(send).detach();
         }
     }
 }
 
-async fn send_release(traffic: Rc<Traffic>, place: ReleasePlace) {
-    Timer::after(GATHER_SPAN).await;
-    let has_call = place.1.is_some() || wait_call(&traffic, &place).await;
-    let results = traffic.releaser.waiting.borrow_mut().remove(&place);
+async fn send_release(traffic: Rc<Traffic>, destination: ReleaseDestination) {
+    Timer::after(RELEASE_DELAY).await;
+    let has_permit = destination.1.is_some() || wait_release_permit(&traffic, &destination).await;
+    let results = traffic.releaser.waiting.borrow_mut().remove(&destination);
     let results = results.unwrap_or_default();
-    if let Some(peer) = place.1 {
+    if let Some(peer) = destination.1 {
         if release_at_peer(&traffic, peer, &results).await {
             return;
         }
@@ -82,64 +83,67 @@
     let Some(producer) = results.first().map(|result| result.producer.clone()) else {
         return;
     };
-    let Some(desk) = traffic.service(&producer.service) else {
+    let Some(context) = traffic.service(&producer.service) else {
         return;
     };
     let handles: Vec<String> = results.into_iter().map(|result| result.handle).collect();
-    if !has_call || !wait_rest(&traffic, &desk, &producer, handles.len()).await {
+    if !has_permit || !wait_backoff(&traffic, &context, &producer, handles.len()).await {
         return;
     }
-    if let Err(reason) = send_handles(&traffic, &desk, &producer, &handles).await {
+    if let Err(reason) = send_handles(&traffic, &context, &producer, &handles).await {
         log::debug!(
-            "target={} results={} not given up: {reason}",
+            "target={} results={} not released: {reason}",
             producer.id,
             handles.len()
         );
         return;
     }
-    traffic.handle_released(&desk, &handles);
+    traffic.handle_released(&context, &handles);
 }
 
-/// Waits for a call to a target with a limit, while more results are gathered; false if there is none before
-/// they go by themselves.
-async fn wait_call(traffic: &Rc<Traffic>, place: &ReleasePlace) -> bool {
-    let Some(producer) = traffic.releaser.producer(place) else {
+/// Waits for a permit for a release call if the target has a limit, while more results accumulate.
+/// Returns `false` if the results expire first.
+async fn wait_release_permit(traffic: &Rc<Traffic>, destination: &ReleaseDestination) -> bool {
+    let Some(producer) = traffic.releaser.producer(destination) else {
         return false;
     };
-    let Some(desk) = traffic.service(&producer.service) else {
+    let Some(context) = traffic.service(&producer.service) else {
         return false;
     };
-    let until = traffic.shared.now() + kept_span(&desk);
-    let has_call = desk.limits.wait_permit(&producer, until).await;
-    if !has_call {
-        log::info!("target={} has no call for a release", producer.id);
+    let until = traffic.shared.now() + result_ttl(&context);
+    let has_permit = context.limits.wait_permit(&producer, until).await;
+    if !has_permit {
+        log::info!(
+            "target={} gets no release: no permit before its results expire",
+            producer.id
+        );
     }
-    has_call
+    has_permit
 }
 
-/// Returns the time after which results go by themselves.
-fn kept_span(desk: &ServiceContext) -> Duration {
-    let batch = desk.spec.borrow().batch.clone();
+/// Returns the time after which results expire on the target.
+fn result_ttl(context: &ServiceContext) -> Duration {
+    let batch = context.spec.borrow().batch.clone();
     batch.map_or(Duration::ZERO, |batch| batch.result_ttl)
 }
 
-/// Waits until a target that wants rest takes calls again; false if its results go by themselves before.
-async fn wait_rest(
+/// Waits until the target's backoff has ended. Returns `false` if its results expire first.
+async fn wait_backoff(
     traffic: &Traffic,
-    desk: &ServiceContext,
+    context: &ServiceContext,
     producer: &TargetSpec,
     results: usize,
 ) -> bool {
-    let latest = traffic.shared.now() + kept_span(desk);
+    let latest = traffic.shared.now() + result_ttl(context);
     loop {
         let now = traffic.shared.now();
-        let rests_until = desk.targets.borrow().backoff_until(now, &producer.id);
-        let Some(until) = rests_until else {
+        let backoff_until = context.targets.borrow().backoff_until(now, &producer.id);
+        let Some(until) = backoff_until else {
             return true;
         };
-        let left = until.saturating_sub(now).as_millis();
+        let remaining = until.saturating_sub(now).as_millis();
         log::info!(
-            "target={} rests for {left}ms and keeps results={results}",
+            "target={} backs off for {remaining}ms, release deferred: results={results}",
             producer.id
         );
         if until > latest {
@@ -151,15 +155,23 @@
 
 async fn send_handles(
     traffic: &Rc<Traffic>,
-    desk: &Rc<ServiceContext>,
+    context: &Rc<ServiceContext>,
     producer: &TargetSpec,
     handles: &[String],
 ) -> Result<(), String> {
     let host = producer.address.to_string();
     let request = encode_release(&host, &producer.id, handles).map_err(|p| p.to_string())?;
     let purpose = CallPurpose::Maintenance;
-    let answer = call_target(traffic, desk, producer, request, purpose, RELEASE_LIMIT).await;
-    let answer = answer.map_err(|fault| format!("{fault:?}"))?;
-    let read = answer.collect(traffic, ANSWER_LIMIT).await;
-    read.map(|_| ()).map_err(|fault| format!("{fault:?}"))
+    let answer = call_target(
+        traffic,
+        context,
+        producer,
+        request,
+        purpose,
+        RELEASE_TIMEOUT,
+    )
+    .await;
+    let answer = answer.map_err(|error| format!("{error:?}"))?;
+    let read = answer.collect(traffic, MAX_RESPONSE_BYTES).await;
+    read.map(|_| ()).map_err(|error| format!("{error:?}"))
 }
--- a/packages/turnford-serve/src/shared.rs
+++ b/packages/turnford-serve/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a node share.
+//! State shared between the threads of a node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,62 +25,63 @@
 use crate::metrics::ServeMetrics;
 use crate::suspect_channel::SuspectChannel;
 
-/// Least number of nodes that shares of fleet-wide limits are reckoned with, so that a node that
-/// knows nobody yet does not take the limit for its own.
-const LEAST_FLEET: usize = 4;
+/// Minimum number of nodes assumed when fleet-wide limits are divided, so that a node that knows no
+/// other nodes yet does not claim a whole limit for itself.
+const MIN_FLEET_SIZE: usize = 4;
 
-/// Another node that lives.
+/// Another live node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FleetMember {
     pub(crate) name: Arc<str>,
     pub(crate) hall: Arc<str>,
-    /// Address for news of the fleet.
+    /// Address of its control thread, for membership and view updates.
     pub(crate) inner: SocketAddr,
-    /// Address for work.
+    /// Address of its traffic thread, for work.
     pub(crate) work: SocketAddr,
     /// Start of its process, in milliseconds of the time of day.
     pub(crate) started: u64,
 }
 
-/// Part of the grace time that is left for the last bytes and the process's own end.
+/// Part of the grace time that is reserved for the last bytes and the exit of the process.
 const EXIT_MARGIN: Duration = Duration::from_millis(600);
 
-/// Time that most streams take with their stages. A stream that comes when less is left of the
-/// grace time goes to another node.
-const LONG_SPAN: Duration = Duration::from_millis(4500);
+/// Duration of most streams including their stages. A stream that arrives when less of the grace
+/// time is left is sent to another node.
+const TYPICAL_STREAM_TIME: Duration = Duration::from_millis(4500);
 
-/// What the control thread knows, as the traffic thread reads it.
+/// Snapshot of the control thread's knowledge for the traffic thread.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RouteView {
     pub(crate) config: Arc<RouteConfig>,
     pub(crate) table: Arc<RouteTable>,
     pub(crate) targets: Arc<BTreeMap<TargetId, TargetSpec>>,
-    /// The other nodes that live, by name.
+    /// The other live nodes, sorted by name.
     pub(crate) members: Arc<Vec<FleetMember>>,
-    /// Most nodes that may be alive, this one among them.
+    /// Upper bound on the number of live nodes, including this one.
     pub(crate) fleet: usize,
-    /// Nodes among them that fell silent lately and did not stop as planned.
+    /// Number of nodes among them that recently became unreachable without a planned stop.
     pub(crate) missing: usize,
 }
 
 impl RouteView {
-    /// Returns the number of nodes to share fleet-wide limits with.
+    /// Returns the number of nodes that fleet-wide limits are divided by.
     pub(crate) fn share_count(&self) -> f64 {
-        self.fleet.max(LEAST_FLEET) as f64
+        self.fleet.max(MIN_FLEET_SIZE) as f64
     }
 
-    /// Tells whether this node reaches at least half of the nodes that may be alive, itself among them.
+    /// Returns whether this node reaches at least half of the nodes that may be alive, including
+    /// itself.
     pub(crate) fn reaches_half(&self) -> bool {
         self.members.len() + 1 >= self.missing
     }
 
-    /// Tells whether requests can be served.
+    /// Returns whether requests can be served.
     pub(crate) fn is_complete(&self) -> bool {
         self.config.version > 0 && !self.targets.is_empty()
     }
 }
 
-/// State that all threads of a node reach.
+/// State that is accessible to all threads of a node.
 pub(crate) struct ServeShared {
     pub(crate) settings: ServeSettings,
     pub(crate) clock: Arc<dyn Clock>,
@@ -90,22 +91,22 @@
     /// Wakes the traffic thread after a change of the view.
     pub(crate) changes: Sender<()>,
     pub(crate) draining: AtomicBool,
-    /// When the stop began, in milliseconds of the node's clock; 0 before.
-    pub(crate) stop_begun: AtomicU64,
-    /// Turns of the thread that takes clients' connections.
-    pub(crate) turns: ThreadHeartbeat,
-    /// Whether the store was asked for the other nodes, with whatever success.
-    pub(crate) has_asked_members: AtomicBool,
-    /// Whether another node told which requests crash targets, or there is none to ask.
+    /// Start of the planned stop, in milliseconds of the node's clock; 0 before it.
+    pub(crate) stop_started_at: AtomicU64,
+    /// Heartbeat of the thread that accepts clients' connections.
+    pub(crate) heartbeat: ThreadHeartbeat,
+    /// Whether the store has been asked for the other nodes, successfully or not.
+    pub(crate) has_queried_members: AtomicBool,
+    /// Whether another node has sent its crash records, or there was no node to ask.
     pub(crate) has_crash_snapshot: AtomicBool,
-    /// Whether another node told what it knows of the configuration and the targets, or there is none to
-    /// ask. What the store holds may be older.
-    pub(crate) knows_view: AtomicBool,
-    /// Whether the machine was suspended and nothing has confirmed since what this node knows.
-    pub(crate) has_slept: AtomicBool,
-    /// Requests under which targets crashed, as they are kept in the store.
+    /// Whether another node has sent its configuration and targets, or there was no node to ask.
+    /// The store may hold an older copy.
+    pub(crate) has_view_snapshot: AtomicBool,
+    /// Whether the machine was suspended and this node's knowledge has not been confirmed since.
+    pub(crate) was_suspended: AtomicBool,
+    /// Channel for suspects that are stored.
     pub(crate) suspects: SuspectChannel,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub(crate) running: AtomicU64,
     pub(crate) metrics: ServeMetrics,
 }
@@ -115,16 +116,17 @@
         self.clock.now()
     }
 
-    /// Returns the time since a moment of the time of day, which is near enough on all nodes; steps
-    /// of this VM's clock since its start don't count.
+    /// Returns the time since a time of day. Clocks of all nodes agree closely enough for this;
+    /// steps of this VM's clock after the start of the process have no effect.
     pub(crate) fn age_of(&self, started: u64) -> Duration {
         let now = Duration::from_millis(self.started) + self.now();
         now.saturating_sub(Duration::from_millis(started))
     }
 
-    /// Returns those of some members, and this node, that have run long enough to do duties for
-    /// others. A node that stops does no more duties than it must.
-    pub(crate) fn settled_names<'a>(
+    /// Returns the names of the nodes, among the given members and this one, that have run long
+    /// enough to own duties. A stopping node counts as new, so that it owns no more duties than
+    /// necessary.
+    pub(crate) fn duty_eligible_names<'a>(
         &'a self,
         members: impl Iterator<Item = &'a FleetMember>,
     ) -> Vec<&'a str> {
@@ -147,47 +149,47 @@
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Begins the stop.
+    /// Starts the planned stop.
     pub(crate) fn begin_stop(&self) {
         let now = u64::try_from(self.now().as_millis()).unwrap_or(u64::MAX);
-        self.stop_begun.store(now.max(1), Ordering::SeqCst);
+        self.stop_started_at.store(now.max(1), Ordering::SeqCst);
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Returns when the process ends at the latest, `None` while it is not stopping.
+    /// Returns the time by which the process ends, or `None` while it is not stopping.
     pub(crate) fn exit_deadline(&self) -> Option<Moment> {
-        let begun = self.stop_begun.load(Ordering::SeqCst);
-        let begun = (begun > 0).then(|| Duration::from_millis(begun))?;
-        Some(begun + self.settings.stop_grace.saturating_sub(EXIT_MARGIN))
+        let started_at = self.stop_started_at.load(Ordering::SeqCst);
+        let started_at = (started_at > 0).then(|| Duration::from_millis(started_at))?;
+        Some(started_at + self.settings.stop_grace.saturating_sub(EXIT_MARGIN))
     }
 
-    /// Tells whether a new request of a kind can be finished before the process ends.
+    /// Returns whether a new request can be finished before the process ends.
     pub(crate) fn can_finish(&self, kind: CallKind, timeout: Duration) -> bool {
         let Some(end) = self.exit_deadline() else {
             return true;
         };
-        let span = if kind == CallKind::Stream {
-            LONG_SPAN
+        let required = if kind == CallKind::Stream {
+            TYPICAL_STREAM_TIME
         } else {
             timeout
         };
-        self.now() + span.min(LONG_SPAN) <= end
+        self.now() + required.min(TYPICAL_STREAM_TIME) <= end
     }
 
-    /// Tells whether new connections should come to this node.
+    /// Returns whether new connections should be sent to this node.
     pub(crate) fn is_ready(&self) -> bool {
-        let has_asked = self.has_crash_snapshot.load(Ordering::SeqCst)
-            && self.knows_view.load(Ordering::SeqCst);
-        let is_awake = !self.has_slept.load(Ordering::SeqCst);
-        let is_complete = has_asked && is_awake && self.view.load().is_complete();
-        !self.is_draining() && is_complete && self.turns.is_alive(self.now())
+        let has_snapshots = self.has_crash_snapshot.load(Ordering::SeqCst)
+            && self.has_view_snapshot.load(Ordering::SeqCst);
+        let is_awake = !self.was_suspended.load(Ordering::SeqCst);
+        let is_complete = has_snapshots && is_awake && self.view.load().is_complete();
+        !self.is_draining() && is_complete && self.heartbeat.is_alive(self.now())
     }
 
-    /// Puts a new view into force.
+    /// Replaces the view and wakes the traffic thread.
     pub(crate) fn set_view(&self, change: impl Fn(&RouteView) -> RouteView) {
         let old = self.view.load();
         self.view.store(Arc::new(change(&old)));
-        // A full channel holds a wake-up already.
+        // A full channel already holds a wake-up.
         let _ = self.changes.try_send(());
     }
 }
