--- a/packages/turnford-serve/src/crash_updates.rs
+++ b/packages/turnford-serve/src/crash_updates.rs
@@ -123,8 +123,8 @@
         return Vec::new();
     }
     let updates = traffic.crashes.table.borrow().snapshot(now);
-    let pause = Duration::from_secs_f64(updates.len() as f64 / SNAPSHOT_RATE);
-    traffic.crashes.snapshot_after.set(now + pause);
+    let delay = Duration::from_secs_f64(updates.len() as f64 / SNAPSHOT_RATE);
+    traffic.crashes.snapshot_after.set(now + delay);
     updates
 }
 
--- a/packages/turnford-serve/src/limit_placement.rs
+++ b/packages/turnford-serve/src/limit_placement.rs
@@ -79,8 +79,8 @@
     if !limited.is_empty() && !is_any_awake {
         match allocator.request_permit(now, queued, &limited) {
             PermitDecision::Granted => {}
-            PermitDecision::Wait(span) => return LimitedPlacement::Wait(span),
-            PermitDecision::Rejected(span) => return LimitedPlacement::Full(span),
+            PermitDecision::Wait(delay) => return LimitedPlacement::Wait(delay),
+            PermitDecision::Rejected(delay) => return LimitedPlacement::Full(delay),
         }
     }
     let mut request = request.clone();
@@ -185,17 +185,17 @@
             .await
         {
             PermitOutcome::Granted => return Ok(Some(target)),
-            PermitOutcome::Unlimited(span) => {
+            PermitOutcome::Unlimited(delay) => {
                 report_limit(&context.limits, &target);
-                let until = traffic.shared.now() + span;
+                let until = traffic.shared.now() + delay;
                 context
                     .limits
                     .table
                     .borrow_mut()
                     .record_denial(&target.id, until);
             }
-            PermitOutcome::Wait(span) => {
-                let until = traffic.shared.now() + span.max(PLACEMENT_RETRY_INTERVAL);
+            PermitOutcome::Wait(delay) => {
+                let until = traffic.shared.now() + delay.max(PLACEMENT_RETRY_INTERVAL);
                 context
                     .limits
                     .table
--- a/packages/turnford-serve/src/limits.rs
+++ b/packages/turnford-serve/src/limits.rs
@@ -313,10 +313,10 @@
                 .await
             {
                 PermitOutcome::Granted => return true,
-                PermitOutcome::Wait(span) | PermitOutcome::Unlimited(span)
-                    if self.peers.shared.now() + span < until =>
+                PermitOutcome::Wait(delay) | PermitOutcome::Unlimited(delay)
+                    if self.peers.shared.now() + delay < until =>
                 {
-                    Timer::after(span).await;
+                    Timer::after(delay).await;
                 }
                 PermitOutcome::Wait(_) | PermitOutcome::Unlimited(_) => return false,
             }
