--- a/packages/turnford-serve/tests/config_follow.rs
+++ b/packages/turnford-serve/tests/config_follow.rs
@@ -1,4 +1,5 @@
-//! Changes of the configuration are in force soon, from the store or from a peer, and stay.
+//! Changes of the configuration come into force soon, from the store or from a peer, and are never
+//! rolled back.
 
 mod common;
 
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn never_back() {
+fn never_rolled_back() {
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
@@ -76,7 +77,7 @@
 
 #[test]
 fn from_peer() {
-    // The store turns one node away; it learns the change from the other.
+    // The store rejects one node, which has to get the change from the other.
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let first = site.node("one");
--- a/packages/turnford-serve/tests/crashing_requests.rs
+++ b/packages/turnford-serve/tests/crashing_requests.rs
@@ -1,10 +1,11 @@
 //! Requests that crash the targets which run them.
 //!
-//! A request ended each engine that began to run it, and its client sent it again, under a new id, to
-//! whichever node. Each node counted the tries of one arrival only, so that the next arrival went to
-//! the next engine that was whole: 23 engines more got it after three had ended under it, 40 ended in
-//! all, and up to 27 streams of others broke with one engine. What settled it is that 64 of 68 ends
-//! came 100 to 300 ms after a request of one account on one route, sent by all eight nodes.
+//!
+//! Guards against a request that crashes one engine after another. Its client retried it under new
+//! ids on any node, and each node counted only the attempts of one arrival, so that every arrival
+//! crashed the next healthy engine: 40 engines ended in all, 23 of them after three crashes had
+//! been seen, and up to 27 streams of other clients broke with one engine. 64 of 68 crashes came
+//! 100 to 300 ms after a request of one account on one route, which all eight nodes had sent.
 
 mod common;
 
@@ -25,23 +26,24 @@
 /// Body of the request that crashes targets.
 const CRASHING: &str = "a brief that no engine survives";
 
-/// Most times that it may reach targets: three crashes tell, and three more may follow.
-const REACH_LIMIT: usize = 6;
+/// Maximum number of runs of that request: three crashes are needed for the verdict, and three more
+/// may follow.
+const MAX_RUNS: usize = 6;
 
-/// Tries of clients that come again and again.
+/// Attempts of clients that keep retrying.
 const ARRIVALS: usize = 30;
 
-/// Engines of a site; more than the request may end.
+/// Engines of a site; more than the request may crash.
 const ENGINES: usize = 10;
 
-/// An engine whose streams last long enough to be cut by a crash beside them.
+/// An engine whose streams last long enough to be cut by a crash during them.
 const LASTING: TargetRole = TargetRole::Engine {
     first_event: Duration::from_millis(10),
     event_gap: Duration::from_millis(20),
     events: 20,
 };
 
-/// Starts targets of a service that crash under the request.
+/// Starts targets of a service that crash when they run the request.
 fn fragile_targets(site: &RouteSite, service: &str, role: &TargetRole) -> Vec<RouteTarget> {
     let start = |number| {
         let id = format!("{service}-{number}");
@@ -50,12 +52,12 @@
         target
     };
     let targets = (0..ENGINES).map(start).collect();
-    // The site has one target of a plain service beside these.
+    // The site has one target of a plain service in addition.
     wait_targets(site, ENGINES + 1);
     targets
 }
 
-/// Waits until all nodes know so many targets.
+/// Waits until all nodes know `count` targets.
 fn wait_targets(site: &RouteSite, count: usize) {
     let line = format!("turnford_targets {count}\n");
     for node in 0..site.nodes.len() {
@@ -65,16 +67,17 @@
     }
 }
 
-/// Sends the crashing request so often, to each node in turn; returns how often it reached targets.
+/// Sends the crashing request [`ARRIVALS`] times, to each node in turn. Returns how often it
+/// reached targets.
 fn send_crashing(site: &RouteSite, path: &str) -> usize {
     for number in 0..ARRIVALS {
         let attempt = format!("bad-{number}");
-        let ask = ClientRequest {
+        let request = ClientRequest {
             body: CRASHING,
             ..ClientRequest::new(&attempt, path)
         };
-        // Whatever the end is: it can't be served.
-        let _ = site.call(number % site.nodes.len(), ask);
+        // The outcome does not matter, since the request can't be served.
+        let _ = site.call(number % site.nodes.len(), request);
         std::thread::sleep(Duration::from_millis(20));
     }
     reached(site)
@@ -100,64 +103,64 @@
     let site = start_site();
     fragile_targets(&site, "sprog", &LASTING);
     let reached = send_crashing(&site, "/draft/1");
-    assert!(reached <= REACH_LIMIT, "it reached {reached} engines");
+    assert!(reached <= MAX_RUNS, "it reached {reached} engines");
 }
 
 #[test]
 fn few_services() {
-    // A plain service's target gives no sign of a run before its answer.
+    // A target of a plain service gives no sign of a run before its response.
     let site = start_site();
     fragile_targets(&site, "booking", &QUICK);
     let reached = send_crashing(&site, "/pay/1");
-    assert!(reached <= REACH_LIMIT, "it reached {reached} targets");
+    assert!(reached <= MAX_RUNS, "it reached {reached} targets");
 }
 
 #[test]
-fn many_at_once() {
-    // Its copies come at all nodes at the same time, before any of them has seen a crash.
+fn concurrent_copies() {
+    // Copies arrive at all nodes at the same time, before any node has seen a crash.
     let site = start_site();
     fragile_targets(&site, "sprog", &LASTING);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
         for node in 0..site.nodes.len() {
             for copy in 0..ARRIVALS / 3 {
                 let site = &site;
                 scope.spawn(move || {
                     let attempt = format!("bad-{node}-{copy}");
-                    let ask = ClientRequest {
+                    let request = ClientRequest {
                         body: CRASHING,
                         ..ClientRequest::new(&attempt, "/draft/1")
                     };
-                    let _ = site.call(node, ask);
+                    let _ = site.call(node, request);
                 });
             }
         }
     });
-    let crossed = reached(&site);
-    let took = begun.elapsed();
-    // The engines are back, and whatever pause they got is over.
+    let earlier = reached(&site);
+    let took = started_at.elapsed();
+    // The engines have restarted, and their backoffs have ended.
     std::thread::sleep(Duration::from_secs(3));
-    let later = send_crashing(&site, "/draft/1") - crossed;
-    assert!(later <= 3, "{later} more after {crossed} in {took:?}");
+    let later = send_crashing(&site, "/draft/1") - earlier;
+    assert!(later <= 3, "{later} more after {earlier} in {took:?}");
 }
 
 #[test]
 fn others_served() {
-    // Requests that ran beside it, and others of its account, are served as before.
+    // Requests that ran on the same engines, and other requests of the account, are still served.
     let site = start_site();
     fragile_targets(&site, "sprog", &LASTING);
-    let ask = |attempt: &str, body: &str| {
-        let ask = ClientRequest {
+    let send = |attempt: &str, body: &str| {
+        let request = ClientRequest {
             body,
             ..ClientRequest::new(attempt, "/draft/1")
         };
-        site.call(attempt.len() % 3, ask)
+        site.call(attempt.len() % 3, request)
     };
     std::thread::scope(|scope| {
         for neighbour in 0..20 {
             scope.spawn(move || {
                 let attempt = format!("good-{neighbour}");
-                let _ = ask(&attempt, &attempt);
+                let _ = send(&attempt, &attempt);
             });
         }
         let site = &site;
@@ -166,31 +169,31 @@
     std::thread::sleep(Duration::from_millis(1500));
     for neighbour in 0..20 {
         let attempt = format!("again-{neighbour}");
-        let answer = ask(&attempt, &format!("good-{neighbour}")).expect("an answer");
+        let answer = send(&attempt, &format!("good-{neighbour}")).expect("an answer");
         assert_eq!(answer.status, 200, "{}", text(&answer));
     }
 }
 
 #[test]
 fn popular_served() {
-    // Many clients ask for the same thing while engines lose power beside it, three times. It is no
-    // reason to refuse them: it ends well wherever its engine stays.
+    // Many clients send the same request while engines lose power three times. That is no reason to
+    // refuse it, since it ends cleanly on every engine that stays up.
     let site = start_site();
     let engines = fragile_targets(&site, "sprog", &LASTING);
     let clients = 12;
-    let ask = |client: usize, number: usize| {
+    let send = |client: usize, number: usize| {
         let attempt = format!("same-{client}-{number}");
-        let ask = ClientRequest {
+        let request = ClientRequest {
             body: "what all ask",
             ..ClientRequest::new(&attempt, "/draft/1")
         };
-        let answer = site.call(client % 3, ask);
+        let answer = site.call(client % 3, request);
         answer.is_ok_and(|answer| answer.status == 200 && !answer.body.is_empty())
     };
     let failed: usize = std::thread::scope(|scope| {
         let tasks: Vec<_> = (0..clients)
             .map(|client| {
-                scope.spawn(move || (0..8).filter(|number| !ask(client, *number)).count())
+                scope.spawn(move || (0..8).filter(|number| !send(client, *number)).count())
             })
             .collect();
         for hall in engines.chunks(3).take(3) {
@@ -206,7 +209,7 @@
     assert!(failed <= 30, "{failed} of 96 were not served");
     std::thread::sleep(Duration::from_millis(800));
     for client in 0..clients {
-        assert!(ask(client, 100), "refused after the engines were back");
+        assert!(send(client, 100), "refused after the engines were back");
     }
 }
 
@@ -216,13 +219,13 @@
     fragile_targets(&site, "sprog", &LASTING);
     send_crashing(&site, "/draft/1");
     for node in 0..site.nodes.len() {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let attempt = format!("bad-last-{node}");
-        let ask = ClientRequest {
+        let request = ClientRequest {
             body: CRASHING,
             ..ClientRequest::new(&attempt, "/draft/1")
         };
-        let answer = site.call(node, ask).expect("an answer");
+        let answer = site.call(node, request).expect("an answer");
         assert_eq!(answer.status, 503);
         assert!(
             text(&answer).contains("crashes-targets"),
@@ -230,24 +233,24 @@
             text(&answer)
         );
         assert!(answer.header("retry-after").is_some());
-        assert!(begun.elapsed() < Duration::from_millis(300));
+        assert!(started_at.elapsed() < Duration::from_millis(300));
         assert!(site.journal.requests(&attempt).is_empty());
     }
 }
 
-/// Sends the crashing request to a node; tells whether it refused it at once.
+/// Sends the crashing request to a node. Returns whether the node refused it as crashing targets.
 fn is_refused(site: &RouteSite, node: usize, attempt: &str) -> bool {
-    let ask = ClientRequest {
+    let request = ClientRequest {
         body: CRASHING,
         ..ClientRequest::new(attempt, "/draft/1")
     };
-    let answer = site.call(node, ask);
+    let answer = site.call(node, request);
     answer.is_ok_and(|answer| text(&answer).contains("crashes-targets"))
 }
 
 #[test]
 fn node_lost() {
-    // The node that saw the crashes is gone, and so is the store: the others know.
+    // The node that saw the crashes is gone, and so is the store; the other nodes still know.
     let mut site = start_site();
     fragile_targets(&site, "sprog", &LASTING);
     wait_until("the node refuses it", || is_refused(&site, 0, "bad-first"));
@@ -264,7 +267,7 @@
 
 #[test]
 fn node_started() {
-    // A node that starts asks the others before it says that it is ready.
+    // A starting node asks the others before it reports itself ready.
     let mut site = start_site();
     fragile_targets(&site, "sprog", &LASTING);
     wait_until("the node refuses it", || is_refused(&site, 0, "bad-first"));
@@ -274,13 +277,15 @@
 }
 
 #[test]
-fn all_started_again() {
-    // All nodes end together, and none of those that start knows what they knew. Copies that come at all
-    // nodes at once must not begin anew: three more targets are allowed after the first three.
+fn all_restarted() {
+    // All nodes end together, and the nodes that start have lost their knowledge. Copies that
+    // arrive at all nodes at once must not start over: three more crashes are allowed after the
+    // first three.
     let mut site = start_site();
     fragile_targets(&site, "sprog", &LASTING);
     wait_until("the node refuses it", || is_refused(&site, 0, "bad-first"));
-    // A crash is kept a little after it, when its neighbours are known; nodes that end before that keep nothing.
+    // A crash is written to the store after a delay that tells it from a loss of power; nodes that
+    // end earlier write nothing.
     wait_until("it is kept", || {
         !site.store.names("turnford-suspects").is_empty()
     });
@@ -309,13 +314,14 @@
 
 #[test]
 fn few_stages() {
-    // Its pieces crash the targets of a stage, whose calls hold pieces of others, too.
+    // The pieces of the request crash the targets of a stage, whose calls hold pieces of other
+    // requests, too.
     let site = start_site();
     let targets = fragile_targets(&site, "kort", &STAGE);
     site.target("e1", "ejer", STAGE);
     site.target("s1", "sprog", LASTING);
     wait_targets(&site, ENGINES + 3);
-    let bad: Vec<(&str, &str)> = STAGED
+    let piece_headers: Vec<(&str, &str)> = STAGED
         .iter()
         .map(|(name, value)| match *name {
             "x-turnford-piece-key" => (*name, CRASHING),
@@ -324,21 +330,21 @@
         .collect();
     for number in 0..ARRIVALS {
         let attempt = format!("bad-{number}");
-        let ask = ClientRequest {
+        let request = ClientRequest {
             body: CRASHING,
-            headers: &bad,
+            headers: &piece_headers,
             ..ClientRequest::new(&attempt, "/chat/")
         };
-        // Whatever the end is: it can't be served.
-        let _ = site.call(number % site.nodes.len(), ask);
+        // The outcome does not matter, since the request can't be served.
+        let _ = site.call(number % site.nodes.len(), request);
     }
     let crashes: u64 = targets.iter().map(RouteTarget::crash_count).sum();
-    assert!(crashes <= REACH_LIMIT as u64, "{crashes} targets crashed");
-    let ask = ClientRequest {
+    assert!(crashes <= MAX_RUNS as u64, "{crashes} targets crashed");
+    let request = ClientRequest {
         headers: STAGED,
         body: "another",
         ..ClientRequest::new("good", "/chat/")
     };
-    let answer = site.call(0, ask).expect("an answer");
+    let answer = site.call(0, request).expect("an answer");
     assert_eq!(answer.status, 200, "{}", text(&answer));
 }
--- a/packages/turnford-serve/tests/large_config.rs
+++ b/packages/turnford-serve/tests/large_config.rs
@@ -1,14 +1,12 @@
-//! A configuration is in force soon however large it is and however slow the link.
+//! A configuration comes into force soon, however large it is and however slow the link.
 //!
-//! Symptom: for up to ten seconds after a change was confirmed, single nodes answered 404 on the
-//! routes that it added. Sequence: the configuration had grown to 0.85 MB; links carried 10 Mbit/s,
-//! so that a whole one took 0.7 s alone. A node's watch had to end 0.8 s after its wait, whatever
-//! had come of its answer; the watch was given up, and from then on the node asked without a wait,
-//! with 0.8 s for each answer, while it also asked peers, with 0.3 s for each. Cause: limits on
-//! whole answers, shorter than a large answer takes; each try began anew and took the link from the
-//! others, so none ended. What settled it: two nodes received 1,060 KB a second, all that their
-//! links carry, for ten seconds, 9.2 and 8.5 MB for a configuration of 0.85 MB, with `no answer in
-//! time` every 0.3 to 0.5 s; and, once it was logged, `store lost: … received=851893`.
+//!
+//! Guards against timeouts on whole responses that are shorter than a large response takes. With a
+//! configuration of 0.85 MB on links of 10 Mbit/s, each retry started over and competed with the
+//! others for the link, so that none ended: for up to ten seconds after a change, single nodes
+//! received 1,060 KB a second without result (9.2 and 8.5 MB in all) and answered 404 on the routes
+//! that it added. A whole response took 0.7 s on an idle link; the timeouts were 0.8 s for the
+//! store's and 0.3 s for peers' responses.
 
 mod common;
 
@@ -27,13 +25,13 @@
 use turnford_standin::LinkProxy;
 use turnford_standin::LinkState;
 
-/// Routes of a large configuration; it has some 300 KB.
+/// Number of routes of a large configuration, which has about 300 KB.
 const ROUTES: usize = 1400;
 
-/// What the slow link carries, in bytes a second: a large configuration takes 3 s.
+/// Throughput of the slow link, in bytes per second: a large configuration takes 3 s.
 const RATE: u32 = 100_000;
 
-/// Time in which a configuration that takes 3 s to arrive has to be in force.
+/// Time within which a configuration that takes 3 s to arrive has to be in force.
 const BOUND: Duration = Duration::from_secs(6);
 
 /// Returns a configuration with many routes.
@@ -50,8 +48,12 @@
     config
 }
 
-/// Returns a node whose link to the store is a proxy, once it is ready.
-fn linked_node(site: &RouteSite, name: &str, peers: Vec<SocketAddr>) -> (ServeNode, LinkProxy) {
+/// Returns a ready node whose link to the store is a proxy.
+fn start_linked_node(
+    site: &RouteSite,
+    name: &str,
+    peers: Vec<SocketAddr>,
+) -> (ServeNode, LinkProxy) {
     let (_, store) = site
         .store
         .open_endpoint(&site.executor)
@@ -71,20 +73,20 @@
 fn slow_link() {
     let site = RouteSite::new();
     let _target = site.target("b1", "booking", QUICK);
-    let (node, link) = linked_node(&site, "one", Vec::new());
+    let (node, link) = start_linked_node(&site, "one", Vec::new());
     link.set(LinkState::Throttled(RATE));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     site.store.put("config", "main", large_config(2));
     wait_until("the large configuration is in force", || {
         has_version(&node, &site, 2)
     });
-    let taken = begun.elapsed();
+    let taken = started_at.elapsed();
     assert!(taken < BOUND, "in force after {taken:?}");
 }
 
 #[test]
 fn slow_start() {
-    // A node that starts reads it in a list.
+    // A starting node reads the configuration by a list call.
     let site = RouteSite::new();
     let _target = site.target("b1", "booking", QUICK);
     site.store.put("config", "main", large_config(2));
@@ -94,45 +96,46 @@
         .expect("a free port");
     let link = LinkProxy::start(&site.executor, store).expect("a free port");
     link.set(LinkState::Throttled(RATE));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let node = ServeNode::start(settings("one", link.address, Vec::new())).expect("free ports");
     wait_until("the node is ready", || node.is_ready());
-    let taken = begun.elapsed();
+    let taken = started_at.elapsed();
     assert!(taken < BOUND, "ready after {taken:?}");
 }
 
 #[test]
 fn sooner_from_peer() {
-    // The store's answer would take half a minute; a peer tells it packed.
+    // The store's response would take half a minute; a peer sends the configuration compressed.
     let mut site = RouteSite::new();
     let _target = site.target("b1", "booking", QUICK);
     let peer = site.node("two");
     let inner = site.nodes[peer].settings.inner;
-    let (node, link) = linked_node(&site, "one", vec![inner]);
+    let (node, link) = start_linked_node(&site, "one", vec![inner]);
     site.settle_with(1);
     link.set(LinkState::Throttled(RATE / 10));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     site.store.put("config", "main", large_config(2));
     wait_until("the large configuration is in force", || {
         has_version(&node, &site, 2)
     });
-    let taken = begun.elapsed();
+    let taken = started_at.elapsed();
     assert!(taken < BOUND, "in force after {taken:?}");
 }
 
 #[test]
 fn many_versions() {
-    // Seven versions gather while the first is read; all of them would take 18 s, the newest 3 s.
+    // Seven versions accumulate while the first is read. Reading all of them would take 18 s, the
+    // newest alone 3 s.
     let site = RouteSite::new();
     let _target = site.target("b1", "booking", QUICK);
-    let (node, link) = linked_node(&site, "one", Vec::new());
+    let (node, link) = start_linked_node(&site, "one", Vec::new());
     link.set(LinkState::Throttled(RATE));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for version in 2..9 {
         site.store.put("config", "main", large_config(version));
         std::thread::sleep(Duration::from_millis(100));
     }
     wait_until("the newest is in force", || has_version(&node, &site, 8));
-    let taken = begun.elapsed();
+    let taken = started_at.elapsed();
     assert!(taken < 2 * BOUND, "in force after {taken:?}");
 }
--- a/packages/turnford-serve/tests/leaving_answers.rs
+++ b/packages/turnford-serve/tests/leaving_answers.rs
@@ -1,9 +1,11 @@
-//! Targets that say in their answers that they leave.
+//! Targets that announce in their responses that they leave.
 //!
-//! An engine that left said so in each answer while the store gave nobody an answer, and its entry went
-//! on saying that it was ready. No node read the word: one that had passed such an answer on at 9.088 s
-//! sent the engine requests 3,369 and 6,016 ms later, where 2,000 ms are allowed. Its place is chosen by
-//! one node for all, so the node that heard the word was not the one that had to know it.
+//!
+//! Guards against nodes that ignore the announcement while the store does not respond and the
+//! target's entry still says that it is ready. A node that had forwarded such a response sent the
+//! engine further requests 3,369 and 6,016 ms later, where 2,000 ms are allowed. One node places
+//! the requests of all, so the announcement has to reach it from the node that received the
+//! response.
 
 mod common;
 
@@ -22,33 +24,33 @@
 use turnford_standin::RouteTarget;
 use turnford_standin::TargetFault;
 
-/// Time after a target's word from which it gets no new work, from the users' bounds.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time after a target's announcement from which it gets no new work, as required by the users.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 
-/// Longest time until a refusal that needs nothing but what the node knows.
-const AT_ONCE: Duration = Duration::from_millis(200);
+/// Maximum time for a refusal that depends on this node's knowledge alone.
+const REFUSAL_LIMIT: Duration = Duration::from_millis(200);
 
-/// Time in which a target that came back under its id is used again.
-const USED_AGAIN: Duration = Duration::from_secs(4);
+/// Time within which a target that came back under its id is used again.
+const REUSE_LIMIT: Duration = Duration::from_secs(4);
 
-/// Sends a request to a node; returns its status.
+/// Sends a request to a node and returns its status.
 fn send(site: &RouteSite, node: usize, attempt: &str, path: &str) -> u16 {
     let answer = site.call(node, ClientRequest::new(attempt, path));
     answer.expect("an answer").status
 }
 
-/// Sends requests to a node until the target has answered one of them.
-fn hear_word(site: &RouteSite, node: usize, target: &RouteTarget, path: &str) {
-    let heard = target.arrivals().len();
+/// Sends requests to a node until the target has responded to one of them.
+fn receive_announcement(site: &RouteSite, node: usize, target: &RouteTarget, path: &str) {
+    let before = target.arrivals().len();
     let mut number = 0;
     wait_until("the target answers", || {
         number += 1;
         send(site, node, &format!("hear-{node}-{number}"), path);
-        target.arrivals().len() > heard
+        target.arrivals().len() > before
     });
 }
 
-/// Sends so many requests to each node; returns how many of them reached the target.
+/// Sends `count` requests to each node. Returns how many of them reached the target.
 fn reached(site: &RouteSite, target: &RouteTarget, path: &str, count: usize) -> usize {
     let before = target.arrivals().len();
     for node in 0..site.nodes.len() {
@@ -67,7 +69,8 @@
     }
 }
 
-/// A site of two nodes that know each other, and two targets of a service.
+/// Returns a site of two nodes that know each other and two targets of a service, with the first of
+/// these targets.
 fn site_of_two(service: &str, role: &turnford_standin::TargetRole) -> (RouteSite, RouteTarget) {
     let mut site = RouteSite::new();
     let first = site.target("t1", service, role.clone());
@@ -83,27 +86,28 @@
     let (site, first) = site_of_two("booking", &QUICK);
     silence_store(&site);
     first.announce_leaving(true);
-    hear_word(&site, 0, &first, "/hold/1");
-    std::thread::sleep(IN_FORCE);
+    receive_announcement(&site, 0, &first, "/hold/1");
+    std::thread::sleep(PROPAGATION_LIMIT);
     assert_eq!(reached(&site, &first, "/hold/1", 20), 0);
 }
 
 #[test]
 fn placed_elsewhere() {
-    // Whichever of the nodes places for the engines, the other one hears the word.
+    // Whichever node places the requests for the engines, the other one receives the announcement.
     for node in 0..2 {
         let (site, first) = site_of_two("sprog", &ENGINE);
         silence_store(&site);
         first.announce_leaving(true);
-        hear_word(&site, node, &first, "/draft/1");
-        std::thread::sleep(IN_FORCE);
+        receive_announcement(&site, node, &first, "/draft/1");
+        std::thread::sleep(PROPAGATION_LIMIT);
         assert_eq!(reached(&site, &first, "/draft/1", 20), 0);
     }
 }
 
 #[test]
-fn every_answer() {
-    // The one answer that tells it is a failure, a refusal, or has a head that makes no sense else.
+fn every_response() {
+    // The only response with the announcement is a failure, a refusal, or has an otherwise
+    // malformed header.
     for fault in [
         TargetFault::Fail,
         TargetFault::Reject,
@@ -116,9 +120,9 @@
         silence_store(&site);
         first.announce_leaving(true);
         first.inject_faults([fault.clone()]);
-        hear_word(&site, 0, &first, "/hold/1");
+        receive_announcement(&site, 0, &first, "/hold/1");
         first.announce_leaving(false);
-        std::thread::sleep(IN_FORCE);
+        std::thread::sleep(PROPAGATION_LIMIT);
         assert_eq!(reached(&site, &first, "/hold/1", 20), 0, "{fault:?}");
     }
 }
@@ -135,11 +139,11 @@
     site.settle();
     silence_store(&site);
     let staged = |attempt: &str, node| {
-        let ask = ClientRequest {
+        let request = ClientRequest {
             headers: STAGED,
             ..ClientRequest::new(attempt, "/chat/1")
         };
-        let answer = site.call(node, ask).expect("an answer");
+        let answer = site.call(node, request).expect("an answer");
         assert_eq!(answer.status, 200, "{}", text(&answer));
     };
     let runs = |target: &RouteTarget| {
@@ -153,14 +157,14 @@
         runs(&first) > 0
     });
     first.announce_leaving(true);
-    // The answer that tells may be to pieces, to a question or to a release.
-    let heard = first.arrivals().len();
+    // The announcing response may be to pieces, to a probe or to a release.
+    let before = first.arrivals().len();
     wait_until("the target answers", || {
         number += 1;
         staged(&format!("hear-{number}"), 0);
-        first.arrivals().len() > heard
+        first.arrivals().len() > before
     });
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(PROPAGATION_LIMIT);
     let before = runs(&first);
     for number in 0..10 {
         staged(&format!("after-{number}"), number % 2);
@@ -170,32 +174,36 @@
 
 #[test]
 fn entry_still_ready() {
-    // Its entry is written anew and says that it is ready; its own word is the newer one.
+    // Its entry is rewritten and says that it is ready; the announcement is newer.
     let (site, first) = site_of_two("booking", &QUICK);
     first.announce_leaving(true);
-    hear_word(&site, 0, &first, "/hold/1");
+    receive_announcement(&site, 0, &first, "/hold/1");
     first.republish_changed();
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(PROPAGATION_LIMIT);
     first.republish_changed();
     assert_eq!(reached(&site, &first, "/hold/1", 20), 0);
 }
 
-/// Has a target leave, come back in some way, and be used again.
+/// Has a target leave, come back by `come_back`, and be used again.
 fn comes_back(come_back: impl FnOnce(&RouteTarget)) {
     let (site, first) = site_of_two("booking", &QUICK);
     first.announce_leaving(true);
-    hear_word(&site, 0, &first, "/hold/1");
-    std::thread::sleep(IN_FORCE);
+    receive_announcement(&site, 0, &first, "/hold/1");
+    std::thread::sleep(PROPAGATION_LIMIT);
     assert_eq!(reached(&site, &first, "/hold/1", 10), 0);
     first.announce_leaving(false);
     come_back(&first);
-    let begun = Instant::now();
-    hear_word(&site, 0, &first, "/hold/1");
-    assert!(begun.elapsed() < USED_AGAIN, "{:?}", begun.elapsed());
+    let started_at = Instant::now();
+    receive_announcement(&site, 0, &first, "/hold/1");
+    assert!(
+        started_at.elapsed() < REUSE_LIMIT,
+        "{:?}",
+        started_at.elapsed()
+    );
 }
 
 #[test]
-fn born_again() {
+fn restarted() {
     comes_back(|target| target.restart());
 }
 
@@ -209,11 +217,12 @@
 }
 
 #[test]
-fn stays_after_all() {
-    // Its process goes on, its entry says that it is ready, and it no longer says that it leaves.
+fn stays_active() {
+    // Its process continues, its entry says that it is ready, and it no longer announces that it
+    // leaves.
     let (site, first) = site_of_two("booking", &QUICK);
     first.announce_leaving(true);
-    hear_word(&site, 0, &first, "/hold/1");
+    receive_announcement(&site, 0, &first, "/hold/1");
     first.announce_leaving(false);
     let before = first.arrivals().len();
     wait_until("it is used again", || {
@@ -222,7 +231,7 @@
         let arrivals = first.arrivals().into_iter().skip(before);
         arrivals.filter(|call| call.attempt == "later").count() > 0
     });
-    // It was asked before it got work.
+    // It was probed before it got work.
     let arrivals = first.arrivals();
     assert_eq!(arrivals[before].path, "/health");
 }
@@ -239,22 +248,22 @@
     for target in [&engine, &plain] {
         target.announce_leaving(true);
     }
-    hear_word(&site, 0, &engine, "/draft/1");
-    hear_word(&site, 0, &plain, "/pay/1");
-    std::thread::sleep(IN_FORCE);
+    receive_announcement(&site, 0, &engine, "/draft/1");
+    receive_announcement(&site, 0, &plain, "/pay/1");
+    std::thread::sleep(PROPAGATION_LIMIT);
     for (attempt, path) in [("a1", "/pay/1"), ("a2", "/draft/1"), ("a3", "/chat/1")] {
-        let begun = Instant::now();
-        let ask = ClientRequest {
+        let started_at = Instant::now();
+        let request = ClientRequest {
             headers: STAGED,
             ..ClientRequest::new(attempt, path)
         };
-        let answer = site.call(0, ask).expect("an answer");
+        let answer = site.call(0, request).expect("an answer");
         assert_eq!(answer.status, 503, "{}", text(&answer));
-        assert!(begun.elapsed() < AT_ONCE, "{path}: {:?}", begun.elapsed());
-        assert_eq!(
-            site.journal.runs_of(attempt),
-            [],
-            "its stages began in vain"
+        assert!(
+            started_at.elapsed() < REFUSAL_LIMIT,
+            "{path}: {:?}",
+            started_at.elapsed()
         );
+        assert_eq!(site.journal.runs_of(attempt), [], "its stages ran in vain");
     }
 }
--- a/packages/turnford-serve/tests/leaving_targets.rs
+++ b/packages/turnford-serve/tests/leaving_targets.rs
@@ -1,4 +1,4 @@
-//! Targets that leave get no new work; those whose entries only lapsed come back.
+//! Leaving targets get no new work; targets whose entries merely lapsed come back.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use common::QUICK;
 use turnford_standin::EndpointState;
 
-/// Time in which a change must be in force, from the users' bounds.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time within which a change must be in force, as required by the users.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 
 fn targets(site: &RouteSite, node: usize) -> String {
     let metrics = site.metrics(node);
@@ -28,8 +28,8 @@
     site.target("b2", "booking", QUICK);
     let node = site.node("one");
     first.publish("draining");
-    // The change must be in force within this time; from then on the target gets nothing.
-    std::thread::sleep(IN_FORCE);
+    // The change must be in force within this time; from then on the target gets no requests.
+    std::thread::sleep(PROPAGATION_LIMIT);
     for number in 0..20 {
         let attempt = format!("a{number}");
         let answer = site
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn gone_at_once() {
+fn removed_at_once() {
     let mut site = RouteSite::new();
     let first = site.target("b1", "booking", QUICK);
     site.target("b2", "booking", QUICK);
@@ -57,15 +57,16 @@
 
 #[test]
 fn lapse_and_return() {
-    // Entries that lapsed while the store was away keep their targets until they are back.
+    // Entries that lapsed while the store was unreachable keep their targets until they return.
     let mut site = RouteSite::new();
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
-    let door = site.nodes[node].door;
-    site.store.set_endpoint(door, EndpointState::Unavailable);
+    let endpoint = site.nodes[node].door;
+    site.store
+        .set_endpoint(endpoint, EndpointState::Unavailable);
     std::thread::sleep(Duration::from_millis(5000));
     target.unpublish();
-    site.store.set_endpoint(door, EndpointState::Open);
+    site.store.set_endpoint(endpoint, EndpointState::Open);
     std::thread::sleep(Duration::from_millis(1500));
     assert_eq!(
         site.call(node, ClientRequest::new("a1", "/hold/1"))
@@ -85,7 +86,7 @@
 
 #[test]
 fn other_instance() {
-    // The address now belongs to another incarnation, which turns the call away.
+    // The address now belongs to another process, which refuses the call.
     let mut site = RouteSite::new();
     let first = site.target("b1", "booking", QUICK);
     let spec = serde_json::json!({
--- a/packages/turnford-serve/tests/limited_targets.rs
+++ b/packages/turnford-serve/tests/limited_targets.rs
@@ -1,8 +1,9 @@
-//! Targets that name a limit for all nodes together.
+//! Targets that announce a limit for all nodes together.
 //!
-//! An engine that said in each answer that it takes one request a second from all nodes together got twelve
-//! in 4 s from eight nodes, where eleven may cross. No node read the word, and none knew what the others
-//! sent.
+//!
+//! Guards against nodes that ignore the limit, or keep it without regard to each other's calls. An
+//! engine that announced a limit of one request a second for all nodes together got twelve within 4
+//! s from eight nodes, where eleven are allowed.
 
 mod common;
 
@@ -25,36 +26,36 @@
 use turnford_standin::LIMIT_GRACE;
 use turnford_standin::LIMIT_WINDOW;
 
-/// Longest time for which a request may be kept that is not served in the end.
-const HELD_LIMIT: Duration = Duration::from_millis(500);
+/// Maximum time for which a request may be held that is not served in the end.
+const MAX_HOLD: Duration = Duration::from_millis(500);
 
-/// What a busy machine may add to that between a client and a node.
-const WAY_SPAN: Duration = Duration::from_millis(100);
+/// Tolerance for the time between a client and a node on a busy machine.
+const TRANSIT_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Part of the limits that is served at least where all targets have one.
-const USED_PART: f64 = 0.8;
+/// Minimum ratio of the limits that is used where all targets have one.
+const MIN_USED_RATIO: f64 = 0.8;
 
-/// A window and what comes before the limits are in force, with a margin.
-const PLAY_SPAN: Duration = Duration::from_millis(9000);
+/// A limit window and the time before the limits are in force, with a margin.
+const STREAM_TIME: Duration = Duration::from_millis(9000);
 
-/// One request of a stream of them.
+/// A request of a stream of requests.
 #[derive(Clone, Debug)]
 struct Sent {
     at: Instant,
     held: Duration,
     status: u16,
-    back: Option<f64>,
+    retry_after: Option<f64>,
 }
 
-/// Requests of many clients.
+/// A stream of requests from many clients.
 #[derive(Clone, Copy)]
 struct Stream<'a> {
     path: &'a str,
     key: &'a str,
     headers: &'a [(&'a str, &'a str)],
-    /// Requests a second, over all nodes.
+    /// Requests per second, over all nodes.
     rate: f64,
-    patience_ms: &'a str,
+    deadline_ms: &'a str,
 }
 
 impl<'a> Stream<'a> {
@@ -64,21 +65,22 @@
             key: "key-skagen",
             headers: &[],
             rate,
-            patience_ms: "3000",
+            deadline_ms: "3000",
         }
     }
 
-    /// Sends requests to the nodes in turn for so long, whatever becomes of those before.
+    /// Sends requests to the nodes in turn for the duration of `span`, without waiting for earlier
+    /// ones.
     fn send(self, site: &RouteSite, nodes: &[usize], span: Duration) -> Vec<Sent> {
         let sent = Mutex::new(Vec::new());
-        let begun = Instant::now();
+        let started_at = Instant::now();
         std::thread::scope(|scope| {
             for number in 0.. {
                 let due = Duration::from_secs_f64(f64::from(number) / self.rate);
                 if due >= span {
                     break;
                 }
-                std::thread::sleep((begun + due).saturating_duration_since(Instant::now()));
+                std::thread::sleep((started_at + due).saturating_duration_since(Instant::now()));
                 let node = nodes[number as usize % nodes.len()];
                 let sent = &sent;
                 scope.spawn(move || {
@@ -96,23 +98,23 @@
         static TRIES: AtomicU64 = AtomicU64::new(0);
         let at = Instant::now();
         let attempt = format!("a{}", TRIES.fetch_add(1, Ordering::SeqCst));
-        let patience = [("x-turnford-deadline-ms", self.patience_ms)];
-        let headers = [self.headers, &patience].concat();
-        let ask = ClientRequest {
+        let deadline = [("x-turnford-deadline-ms", self.deadline_ms)];
+        let headers = [self.headers, &deadline].concat();
+        let request = ClientRequest {
             key: Some(self.key),
             headers: &headers,
             ..ClientRequest::new(&attempt, self.path)
         };
-        let answer = site.call(node, ask);
-        let back = answer.as_ref().ok().and_then(|answer| {
-            let back = answer.header("retry-after")?;
-            back.parse().ok()
+        let answer = site.call(node, request);
+        let retry_after = answer.as_ref().ok().and_then(|answer| {
+            let retry_after = answer.header("retry-after")?;
+            retry_after.parse().ok()
         });
         Sent {
             at,
             held: at.elapsed(),
             status: answer.map_or(0, |answer| answer.status),
-            back,
+            retry_after,
         }
     }
 }
@@ -121,7 +123,7 @@
     sent.iter().filter(|sent| sent.status == 200).count()
 }
 
-/// Has targets name a limit; returns the moment from which it must be kept.
+/// Has targets announce a limit. Returns the time from which it must be kept.
 fn limit_all(targets: &[RouteTarget], limit: &str) -> Instant {
     for target in targets {
         target.announce_limit(Some(limit));
@@ -129,7 +131,7 @@
     Instant::now() + LIMIT_GRACE
 }
 
-/// Asserts that no window holds more than the platform's rules allow.
+/// Asserts that no window holds more calls than the platform's rules allow.
 fn assert_kept(targets: &[RouteTarget], rate: f64, from: Instant) {
     for target in targets {
         let worst = max_window_calls(&target.arrivals(), from);
@@ -139,18 +141,20 @@
     }
 }
 
-/// Asserts that those that were not served were told so soon, with a time to come back.
+/// Asserts that requests that were not served were refused soon, with a retry delay.
 fn assert_refused_soon(sent: &[Sent], from: Instant) {
     for sent in sent.iter().filter(|sent| sent.at >= from) {
         if sent.status != 200 {
             assert_eq!(sent.status, 503);
-            assert!(sent.held <= HELD_LIMIT + WAY_SPAN, "{:?}", sent.held);
-            assert!(sent.back.is_some_and(|back| back > 0.0));
+            assert!(sent.held <= MAX_HOLD + TRANSIT_TOLERANCE, "{:?}", sent.held);
+            assert!(sent
+                .retry_after
+                .is_some_and(|retry_after| retry_after > 0.0));
         }
     }
 }
 
-/// Asserts that the limits are used: so many are served of what came between two moments.
+/// Asserts that the limits are used between two points in time.
 fn assert_used(targets: &[RouteTarget], rate: f64, from: Instant, until: Instant) {
     let span = (until - from).as_secs_f64();
     let all: usize = targets
@@ -163,7 +167,7 @@
                 .count()
         })
         .sum();
-    let least = USED_PART * rate * targets.len() as f64 * span;
+    let least = MIN_USED_RATIO * rate * targets.len() as f64 * span;
     assert!(
         all as f64 >= least,
         "{all} calls in {span} s, {least} at least"
@@ -184,7 +188,7 @@
     (site, nodes, targets.into())
 }
 
-/// Waits until all nodes know so many targets.
+/// Waits until all nodes know `targets` targets.
 fn wait_listed(site: &RouteSite, targets: usize) {
     let line = format!("turnford_targets {targets}\n");
     for node in 0..site.nodes.len() {
@@ -198,10 +202,10 @@
 fn others_serve() {
     let (site, nodes, targets) = site_with(3, ["b1", "b2"], "booking", &QUICK);
     let from = limit_all(&targets[..1], "1");
-    let sent = Stream::new("/pay/1", 60.0).send(&site, &nodes, PLAY_SPAN);
+    let sent = Stream::new("/pay/1", 60.0).send(&site, &nodes, STREAM_TIME);
     assert_kept(&targets[..1], 1.0, from);
     assert_eq!(served(&sent), sent.len());
-    let late = sent.iter().filter(|sent| sent.held > HELD_LIMIT).count();
+    let late = sent.iter().filter(|sent| sent.held > MAX_HOLD).count();
     assert!(late * 100 <= sent.len(), "{late} of {} waited", sent.len());
 }
 
@@ -209,7 +213,7 @@
 fn engines_serve() {
     let (site, nodes, targets) = site_with(3, ["e1", "e2", "e3"], "sprog", &ENGINE);
     let from = limit_all(&targets[..2], "1");
-    let sent = Stream::new("/draft/1", 40.0).send(&site, &nodes, PLAY_SPAN);
+    let sent = Stream::new("/draft/1", 40.0).send(&site, &nodes, STREAM_TIME);
     assert_kept(&targets[..2], 1.0, from);
     assert_eq!(served(&sent), sent.len());
 }
@@ -218,12 +222,12 @@
 fn plain_used() {
     let (site, nodes, targets) = site_with(3, ["b1", "b2"], "booking", &QUICK);
     let from = limit_all(&targets, "8");
-    let until = Instant::now() + PLAY_SPAN;
+    let until = Instant::now() + STREAM_TIME;
     let stream = Stream {
-        patience_ms: "800",
+        deadline_ms: "800",
         ..Stream::new("/hold/1", 60.0)
     };
-    let sent = stream.send(&site, &nodes, PLAY_SPAN);
+    let sent = stream.send(&site, &nodes, STREAM_TIME);
     assert_kept(&targets, 8.0, from);
     assert_used(&targets, 8.0, from, until);
     assert_refused_soon(&sent, from);
@@ -233,50 +237,51 @@
 fn engines_used() {
     let (site, nodes, targets) = site_with(3, ["e1", "e2"], "sprog", &ENGINE);
     let from = limit_all(&targets, "5");
-    let until = Instant::now() + PLAY_SPAN;
-    let sent = Stream::new("/draft/1", 40.0).send(&site, &nodes, PLAY_SPAN);
+    let until = Instant::now() + STREAM_TIME;
+    let sent = Stream::new("/draft/1", 40.0).send(&site, &nodes, STREAM_TIME);
     assert_kept(&targets, 5.0, from);
     assert_used(&targets, 5.0, from, until);
     assert_refused_soon(&sent, from);
 }
 
 #[test]
-fn slow_used() {
-    // A limit below one a second is an amount, too.
+fn fractional_limit_used() {
+    // A limit below one request a second is valid, too.
     let (site, nodes, targets) = site_with(2, ["b1"], "booking", &QUICK);
     let from = limit_all(&targets, "0.5");
-    let until = Instant::now() + PLAY_SPAN;
-    let sent = Stream::new("/hold/1", 10.0).send(&site, &nodes, PLAY_SPAN);
+    let until = Instant::now() + STREAM_TIME;
+    let sent = Stream::new("/hold/1", 10.0).send(&site, &nodes, STREAM_TIME);
     assert_kept(&targets, 0.5, from);
     assert_refused_soon(&sent, from);
-    // Whole calls only: one less than the part may fall into the span.
+    // Only whole calls count: one less than the ratio may fall into the interval.
     let calls = targets[0].arrivals();
     let calls = calls.iter().filter(|call| call.at >= from);
-    let least = USED_PART * 0.5 * (until - from).as_secs_f64();
+    let least = MIN_USED_RATIO * 0.5 * (until - from).as_secs_f64();
     assert!(calls.count() as f64 >= least.floor());
 }
 
 #[test]
 fn pieces_used() {
-    // Reports and releases are calls, too; each call takes as many pieces as wait.
+    // Reports and releases are calls, too; each call takes as many pieces as are waiting.
     let (site, nodes, targets) = site_with(3, ["k1", "k2"], "kort", &STAGE);
     site.target("x1", "ejer", STAGE);
     site.target("s1", "sprog", ENGINE);
     wait_listed(&site, 4);
     let stream = Stream {
         headers: STAGED,
-        patience_ms: "4000",
+        deadline_ms: "4000",
         ..Stream::new("/chat/1", 10.0)
     };
     let before = stream.send(&site, &nodes, Duration::from_secs(1));
     assert_eq!(served(&before), before.len());
     let from = limit_all(&targets, "3");
-    let sent = stream.send(&site, &nodes, PLAY_SPAN);
+    let sent = stream.send(&site, &nodes, STREAM_TIME);
     assert_kept(&targets, 3.0, from);
     let later: Vec<Sent> = sent.into_iter().filter(|sent| sent.at >= from).collect();
-    // Two targets with three calls a second of eight pieces make 48 a second; 20 are asked for.
+    // Two targets with three calls a second of eight pieces each make 48 a second; 20 are
+    // requested.
     assert!(
-        served(&later) as f64 >= USED_PART * later.len() as f64,
+        served(&later) as f64 >= MIN_USED_RATIO * later.len() as f64,
         "{} of {} served",
         served(&later),
         later.len()
@@ -285,7 +290,7 @@
 
 #[test]
 fn before_stages() {
-    // What can't be served at the rate that is left is refused before its stages run.
+    // Requests that can't be served at the remaining rate are refused before their stages run.
     let (site, nodes, engines) = site_with(2, ["s1"], "sprog", &ENGINE);
     let first = site.target("k1", "kort", STAGE);
     site.target("x1", "ejer", STAGE);
@@ -293,25 +298,28 @@
     let from = limit_all(&engines, "1");
     let stream = Stream {
         headers: STAGED,
-        patience_ms: "2000",
+        deadline_ms: "2000",
         ..Stream::new("/chat/1", 10.0)
     };
-    let sent = stream.send(&site, &nodes, PLAY_SPAN);
+    let sent = stream.send(&site, &nodes, STREAM_TIME);
     assert_kept(&engines, 1.0, from);
     assert_refused_soon(&sent, from);
     let later: Vec<&Sent> = sent.iter().filter(|sent| sent.at >= from).collect();
     let served = later.iter().filter(|sent| sent.status == 200).count();
     assert!(served >= 3, "{served} of {} served", later.len());
-    let begun = first.arrivals();
-    let begun = begun
+    let stage_calls = first.arrivals();
+    let stage_calls = stage_calls
         .iter()
         .filter(|call| call.at >= from && call.path == "/v1/stage-run");
-    let begun = begun.count();
-    assert!(begun <= 2 * served, "{begun} calls for {served} requests");
+    let stage_calls = stage_calls.count();
+    assert!(
+        stage_calls <= 2 * served,
+        "{stage_calls} calls for {served} requests"
+    );
 }
 
 #[test]
-fn over_again() {
+fn limit_removed() {
     let (site, nodes, targets) = site_with(3, ["b1"], "booking", &QUICK);
     let from = limit_all(&targets, "2");
     let (sent, ended) = std::thread::scope(|scope| {
@@ -336,7 +344,7 @@
         .cloned()
         .collect();
     assert!(max_window_calls(&before, from) <= limit_allowance(2.0));
-    // By degrees, and all of it after some seconds.
+    // The rate rises gradually, and is unlimited after some seconds.
     let first = of_then(Duration::ZERO, Duration::from_secs(1));
     assert!(first <= 30, "{first} in the first second");
     let full = ended + Duration::from_secs(5);
@@ -345,8 +353,9 @@
 }
 
 #[test]
-fn asked_by_one() {
-    // Where the others take everything, the target is asked now and then whether it is well, by one node.
+fn probed_by_one() {
+    // While other targets take all requests, a single node probes the limited target from time to
+    // time.
     let (site, nodes, targets) = site_with(3, ["b1", "b2"], "booking", &QUICK);
     let from = limit_all(&targets[..1], "0");
     std::thread::scope(|scope| {
@@ -356,7 +365,7 @@
         std::thread::sleep(Duration::from_secs(12));
         let calls = targets[0].arrivals();
         let asked = calls.iter().filter(|call| call.at >= from).count();
-        assert!(asked >= 1, "nobody asked");
+        assert!(asked >= 1, "no probe arrived");
         assert_kept(&targets[..1], 0.0, from);
         targets[0].announce_limit(None);
         let ended = Instant::now();
@@ -372,8 +381,8 @@
 }
 
 #[test]
-fn divider_ends() {
-    // Each node ends in turn, the one that divides among them, and another comes in its place.
+fn allocator_ends() {
+    // Each node ends in turn, including the allocator, and a new node starts in its place.
     let (mut site, mut nodes, targets) = site_with(3, ["e1", "e2"], "sprog", &ENGINE);
     let from = limit_all(&targets, "4");
     let stream = Stream::new("/draft/1", 30.0);
@@ -394,46 +403,52 @@
 
 #[test]
 fn divider_stops() {
-    // A node that stops as planned takes no asks for calls, and still says that it is there. The one that was
-    // asked in its place sent those that asked back to it, so that nobody got a call until it had ended.
+    // Guards against a node that stops as planned: it accepts no permit requests but still responds
+    // to probes. Its successor redirected permit requests back to it, so that no call was permitted
+    // until it had ended.
     std::thread::scope(|scope| {
         for left in 0..2 {
-            scope.spawn(move || stop_divider(left));
+            scope.spawn(move || stop_allocator(left));
         }
     });
 }
 
-/// Has the node that divides stop, while requests come to one of the two others.
-fn stop_divider(left: usize) {
+/// Stops the allocator while requests arrive at one of the two other nodes.
+fn stop_allocator(left: usize) {
     let (mut site, mut nodes, targets) = site_with(3, ["e1", "e2"], "sprog", &ENGINE);
     let from = limit_all(&targets, "4");
     let stream = Stream::new("/draft/1", 30.0);
     stream.send(&site, &nodes, Duration::from_secs(4));
-    let divides = |node: &usize| {
+    let allocates = |node: &usize| {
         let text = site.metrics(*node);
         let mut lines = text.lines();
         let rate = lines.find_map(|line| line.strip_prefix("turnford_limit_rate "));
         rate.is_some_and(|rate| rate != "0.0")
     };
-    let place = nodes.iter().position(divides).expect("a node that divides");
+    let place = nodes.iter().position(allocates).expect("an allocator");
     let stopping = nodes.remove(place);
     let node = site.nodes[stopping].node.take().expect("a node");
-    // Whoever is left was heard by nobody for a while.
+    // The remaining nodes have not been contacted for a while.
     std::thread::sleep(Duration::from_millis(1500));
     std::thread::scope(|scope| {
         scope.spawn(|| async_io::block_on(node.drain()));
-        let begun = Instant::now();
+        let started_at = Instant::now();
         stream.send(&site, &nodes[left..=left], Duration::from_millis(2200));
-        // Half of the limits, while the other one may not know.
-        let seen = begun + Duration::from_millis(700);
-        assert_used(&targets, 2.0, seen, begun + Duration::from_millis(2200));
+        // Half of the limits may be used while the other node may not know of the new allocator.
+        let seen = started_at + Duration::from_millis(700);
+        assert_used(
+            &targets,
+            2.0,
+            seen,
+            started_at + Duration::from_millis(2200),
+        );
     });
     assert_kept(&targets, 4.0, from);
 }
 
 #[test]
-fn untold_nodes() {
-    // Only one node had an answer that names the limit; the others keep it as well.
+fn uninformed_nodes() {
+    // Only one node received a response with the limit; the others keep it as well.
     let (site, nodes, targets) = site_with(4, ["b1"], "booking", &QUICK);
     limit_all(&targets, "1");
     let first = Stream::new("/pay/1", 50.0).send(&site, &nodes[..1], Duration::from_millis(200));
@@ -446,24 +461,24 @@
 }
 
 #[test]
-fn lower_and_higher() {
+fn changed_limit() {
     let (site, nodes, targets) = site_with(2, ["b1"], "booking", &QUICK);
     let stream = Stream::new("/hold/1", 40.0);
     limit_all(&targets, "10");
     stream.send(&site, &nodes, Duration::from_secs(3));
     let from = limit_all(&targets, "2");
-    stream.send(&site, &nodes, PLAY_SPAN);
+    stream.send(&site, &nodes, STREAM_TIME);
     assert_kept(&targets, 2.0, from);
     let from = limit_all(&targets, "10");
-    let until = Instant::now() + PLAY_SPAN;
-    stream.send(&site, &nodes, PLAY_SPAN);
+    let until = Instant::now() + STREAM_TIME;
+    stream.send(&site, &nodes, STREAM_TIME);
     assert_kept(&targets, 10.0, from);
     assert_used(&targets, 10.0, from, until);
 }
 
 #[test]
-fn odd_words() {
-    // What is no number neither begins nor ends a limit.
+fn malformed_limit() {
+    // A value that is not a valid number neither starts nor ends a limit.
     let (site, nodes, targets) = site_with(2, ["b1"], "booking", &QUICK);
     let stream = Stream::new("/hold/1", 40.0);
     targets[0].announce_limit(Some("soon"));
@@ -477,8 +492,8 @@
 }
 
 #[test]
-fn started_again() {
-    // A limit ends with the process that named it.
+fn process_restarted() {
+    // A limit ends with the process that announced it.
     let (site, nodes, targets) = site_with(2, ["b1"], "booking", &QUICK);
     let stream = Stream::new("/hold/1", 40.0);
     limit_all(&targets, "0");
@@ -505,8 +520,8 @@
             ..Stream::new("/hold/1", 4.0)
         };
         let other = Stream::new("/hold/1", 30.0);
-        let urgent = scope.spawn(move || urgent.send(site, nodes, PLAY_SPAN));
-        let other = scope.spawn(move || other.send(site, nodes, PLAY_SPAN));
+        let urgent = scope.spawn(move || urgent.send(site, nodes, STREAM_TIME));
+        let other = scope.spawn(move || other.send(site, nodes, STREAM_TIME));
         (
             urgent.join().expect("an end"),
             other.join().expect("an end"),
--- a/packages/turnford-serve/tests/store_calls.rs
+++ b/packages/turnford-serve/tests/store_calls.rs
@@ -1,4 +1,5 @@
-//! Calls to the store are priced: changes in a row cost few, and few nodes watch for all.
+//! Calls to the store have a cost: a series of changes takes few calls, and few nodes watch the
+//! store for all.
 
 mod common;
 
@@ -14,8 +15,8 @@
 /// Nodes of the hall: a few more than its two watchers.
 const NODES: usize = 5;
 
-/// Time in which a change must be in force, from the users' bounds.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time within which a change must be in force, as required by the users.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 
 fn list_target(site: &RouteSite, number: usize) {
     let spec = json!({
@@ -30,10 +31,10 @@
     let mut site = RouteSite::new();
     list_target(&site, 0);
     let node = site.node("one");
-    let door = site.nodes[node].door;
-    let before = site.store.calls(door);
-    let begun = Instant::now();
-    // Targets that list themselves one after the other.
+    let endpoint = site.nodes[node].door;
+    let before = site.store.calls(endpoint);
+    let started_at = Instant::now();
+    // Targets register one after the other.
     for number in 1..=30 {
         list_target(&site, number);
         std::thread::sleep(Duration::from_millis(10));
@@ -41,9 +42,9 @@
     wait_until("all are known", || {
         site.metrics(node).contains("turnford_targets 31\n")
     });
-    let made = site.store.calls(door) - before;
-    // Changes gather for 150 ms; a busy machine makes them come more slowly.
-    let took = begun.elapsed().as_millis();
+    let made = site.store.calls(endpoint) - before;
+    // Changes accumulate for 150 ms; on a busy machine they arrive more slowly.
+    let took = started_at.elapsed().as_millis();
     let most = 4 + took / 70;
     assert!(
         u128::from(made) <= most,
@@ -51,14 +52,14 @@
     );
 }
 
-/// Starts nodes of one hall that know each other, and returns which of them watch for the others.
+/// Starts the nodes of one hall, and returns which of them watch the store for the others.
 fn start_hall(site: &mut RouteSite) -> Vec<usize> {
     list_target(site, 0);
     for number in 0..NODES {
         site.node(&format!("n{number}"));
     }
     site.settle();
-    // Those that started first watched until they knew the others.
+    // The nodes that started first were watchers until they knew the others.
     std::thread::sleep(Duration::from_millis(1500));
     let names: Vec<String> = (0..NODES).map(|number| format!("n{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -72,13 +73,16 @@
     site.metrics(node).contains(&line)
 }
 
-/// Asserts that all nodes that are left know so many targets soon enough.
-fn assert_known(site: &RouteSite, nodes: &[usize], targets: usize, begun: Instant) {
+/// Asserts that the given nodes know `targets` targets in time.
+fn assert_known(site: &RouteSite, nodes: &[usize], targets: usize, started_at: Instant) {
     for &node in nodes {
         wait_until("the targets are known", || knows(site, node, targets));
     }
-    let took = begun.elapsed();
-    assert!(took < IN_FORCE, "{targets} targets known after {took:?}");
+    let took = started_at.elapsed();
+    assert!(
+        took < PROPAGATION_LIMIT,
+        "{targets} targets known after {took:?}"
+    );
 }
 
 #[test]
@@ -89,9 +93,9 @@
     let calls = |node: &usize| site.store.calls(site.nodes[*node].door);
     let before: Vec<u64> = others.iter().map(calls).collect();
     for number in 1..=10 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         list_target(&site, number);
-        assert_known(&site, &others, number + 1, begun);
+        assert_known(&site, &others, number + 1, started_at);
     }
     let after: Vec<u64> = others.iter().map(calls).collect();
     assert_eq!(before, after, "nodes that don't watch call the store");
@@ -107,14 +111,14 @@
         let node = site.nodes[watcher].node.take().expect("a running node");
         node.stop();
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     list_target(&site, 1);
-    assert_known(&site, &others, 2, begun);
+    assert_known(&site, &others, 2, started_at);
 }
 
 #[test]
 fn watchers_cut() {
-    // The store says nothing to the watchers, right before a change.
+    // The store does not respond to the watchers, right before a change.
     let mut site = RouteSite::new();
     let watchers = start_hall(&mut site);
     let others: Vec<usize> = (0..NODES).filter(|node| !watchers.contains(node)).collect();
@@ -122,10 +126,10 @@
         site.store
             .set_endpoint(site.nodes[watcher].door, EndpointState::Unresponsive);
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     list_target(&site, 1);
-    assert_known(&site, &others, 2, begun);
-    // The watchers learn it from the others.
+    assert_known(&site, &others, 2, started_at);
+    // The watchers learn of it from the others.
     for watcher in watchers {
         wait_until("the watcher knows it", || knows(&site, watcher, 2));
     }
@@ -133,19 +137,20 @@
 
 #[test]
 fn store_returns() {
-    // Nobody reaches the store; when it is back, all know what changed meanwhile.
+    // No node reaches the store. Once it is back, all nodes learn what changed in the meantime.
     let mut site = RouteSite::new();
     start_hall(&mut site);
-    let doors: Vec<usize> = site.nodes.iter().map(|node| node.door).collect();
-    for &door in &doors {
-        site.store.set_endpoint(door, EndpointState::Unavailable);
+    let endpoints: Vec<usize> = site.nodes.iter().map(|node| node.door).collect();
+    for &endpoint in &endpoints {
+        site.store
+            .set_endpoint(endpoint, EndpointState::Unavailable);
     }
     std::thread::sleep(Duration::from_secs(3));
     list_target(&site, 1);
-    for &door in &doors {
-        site.store.set_endpoint(door, EndpointState::Open);
+    for &endpoint in &endpoints {
+        site.store.set_endpoint(endpoint, EndpointState::Open);
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let all: Vec<usize> = (0..NODES).collect();
-    assert_known(&site, &all, 2, begun);
+    assert_known(&site, &all, 2, started_at);
 }
--- a/packages/turnford-serve/tests/store_drill.rs
+++ b/packages/turnford-serve/tests/store_drill.rs
@@ -1,10 +1,12 @@
-//! The store comes back from a copy that is some seconds old: what it had acknowledged since is gone, and
-//! the revisions of that time are given out again.
+//! The store is restored from a copy that is some seconds old: changes that it acknowledged since
+//! are lost, and their revisions are assigned again.
 //!
-//! A node that watched from a revision of the lost history got no word that it was lost once the store had
-//! passed it, and never learned what was written below it: a change of the configuration stayed out of
-//! force for as long as the node ran. Places in the store's history were taken for ever rising: what was
-//! true after the drill was refused as older.
+//!
+//! Guards against two failures. A node that watched from a revision of the lost history was not
+//! notified of the loss once the store had passed that revision, and never learned of changes below
+//! it: a change of the configuration stayed out of force for as long as the node ran. Positions in
+//! the store's history were assumed to only increase: what was true after the restore was rejected
+//! as older.
 
 mod common;
 
@@ -21,17 +23,18 @@
 use turnford_standin::EndpointState;
 use turnford_standin::RouteTarget;
 
-/// Time in which a change must be in force, from the users' bounds.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Time within which a change must be in force, as required by the users.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time after the store's return in which targets write their entries anew, from the users' pages.
-const REWRITTEN: Duration = Duration::from_secs(2);
+/// Time after the store's return within which targets rewrite their entries, as specified by the
+/// platform.
+const REWRITE_TIME: Duration = Duration::from_secs(2);
 
-/// Changes that nobody here follows, of which a drill loses some.
+/// Number of changes that no node follows, some of which are lost by a restore.
 const NOISE: u64 = 12;
 
-/// A site of nodes that know each other. Where all targets are idle, the one whose id is the lowest is
-/// taken; tests name the target that they watch so that it would be.
+/// Starts a site of nodes that know each other. If all targets are idle, the one with the lowest id
+/// is chosen; tests give the target that they observe such an id.
 fn start_site(names: &[&str]) -> RouteSite {
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
@@ -49,13 +52,13 @@
     }
 }
 
-fn set_doors(site: &RouteSite, state: EndpointState) {
+fn set_endpoints(site: &RouteSite, state: EndpointState) {
     for node in &site.nodes {
         site.store.set_endpoint(node.door, state);
     }
 }
 
-/// Waits until the nodes have followed the store to where it is: a change at its end is in force.
+/// Waits until the nodes have followed the store to its current revision, by a change at its end.
 fn catch_up(site: &RouteSite, version: u64) {
     site.store.put("config", "main", config(version));
     for node in 0..site.nodes.len() {
@@ -68,14 +71,14 @@
     site.metrics(node).contains(&line)
 }
 
-/// Waits until a version is in force on all nodes, for as long as that may take.
+/// Asserts that a version comes into force on all nodes in time.
 fn assert_in_force(site: &RouteSite, version: u64) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for node in 0..site.nodes.len() {
         wait_until("it is in force", || in_force(site, node, version));
-        let took = begun.elapsed();
+        let took = started_at.elapsed();
         assert!(
-            took < IN_FORCE,
+            took < PROPAGATION_LIMIT,
             "version {version} after {took:?} at {node}"
         );
     }
@@ -86,11 +89,11 @@
     answer.expect("an answer").status
 }
 
-/// Sends requests to all nodes for so long; returns how many were not served.
+/// Sends requests to all nodes for the duration of `span`. Returns how many were not served.
 fn unserved_for(site: &RouteSite, span: Duration) -> usize {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut unserved = 0;
-    while begun.elapsed() < span {
+    while started_at.elapsed() < span {
         for node in 0..site.nodes.len() {
             unserved += usize::from(send(site, node, "any") != 200);
         }
@@ -100,40 +103,42 @@
 }
 
 #[test]
-fn asked_before() {
-    // The nodes ask from their place before the store has passed it again.
+fn called_before_passed() {
+    // The nodes call from their position before the store has passed it again.
     let site = start_site(&["one", "two"]);
     let copy = site.store.snapshot();
     make_noise(&site, 0);
     catch_up(&site, 5);
     site.store.restore(copy);
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(PROPAGATION_LIMIT);
     site.store.put("config", "main", config(6));
     assert_in_force(&site, 6);
 }
 
 #[test]
-fn asked_after() {
-    // The store has passed their place again before they can ask it, with a change below it.
+fn called_after_passed() {
+    // The store has passed the nodes' position again before they can call it, with a change below
+    // it.
     let site = start_site(&["one", "two"]);
     let copy = site.store.snapshot();
     make_noise(&site, 0);
     catch_up(&site, 5);
     let passed = site.store.revision();
-    set_doors(&site, EndpointState::Unavailable);
+    set_endpoints(&site, EndpointState::Unavailable);
     site.store.restore(copy);
     site.store.put("config", "main", config(6));
     assert!(site.store.revision() < passed);
     make_noise(&site, 100);
     make_noise(&site, 200);
     assert!(site.store.revision() > passed);
-    set_doors(&site, EndpointState::Open);
+    set_endpoints(&site, EndpointState::Open);
     assert_in_force(&site, 6);
 }
 
 #[test]
-fn waiting_watch() {
-    // Watches that wait go on as if nothing was; the store passes their place while they do.
+fn pending_watch() {
+    // Pending watches continue through the restore; the store passes their position in the
+    // meantime.
     let site = start_site(&["one", "two"]);
     let copy = site.store.snapshot();
     make_noise(&site, 0);
@@ -146,7 +151,7 @@
 }
 
 #[test]
-fn twice() {
+fn restored_repeatedly() {
     let site = start_site(&["one"]);
     for round in 0..3 {
         let copy = site.store.snapshot();
@@ -162,7 +167,7 @@
 
 #[test]
 fn told_by_peer() {
-    // The store turns one node away; what it knows is of the lost history, with a higher revision.
+    // The store rejects one node, whose knowledge is from the lost history, with a higher revision.
     let site = start_site(&["one", "two"]);
     let first = site.target("a1", "booking", QUICK);
     let copy = site.store.snapshot();
@@ -171,11 +176,11 @@
     site.store
         .set_endpoint(site.nodes[1].door, EndpointState::Unavailable);
     site.store.restore(copy);
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(PROPAGATION_LIMIT);
     site.store.put("config", "main", config(6));
     first.publish("draining");
     assert_in_force(&site, 6);
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(PROPAGATION_LIMIT);
     let before = first.arrivals().len();
     assert_eq!(unserved_for(&site, Duration::from_millis(500)), 0);
     assert_eq!(first.arrivals().len(), before);
@@ -183,7 +188,8 @@
 
 #[test]
 fn revoked_stays() {
-    // The change that revoked a key is lost. It stays in force, also on a node that starts then.
+    // The change that revoked a key is lost. The key stays revoked, also on nodes that start
+    // afterwards.
     let mut site = start_site(&["one", "two"]);
     let copy = site.store.snapshot();
     let mut next = config(5);
@@ -192,13 +198,13 @@
     assert_in_force(&site, 5);
     site.store.restore(copy);
     for (name, hall) in [("three", "hal-b"), ("four", "hal-c"), ("five", "hal-d")] {
-        // It gets requests once it says that it is ready.
+        // The node gets requests once it is ready.
         site.node_apart(name, hall);
         for node in 0..site.nodes.len() {
             assert_eq!(send(&site, node, "revoked"), 401, "at {node}");
         }
     }
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(PROPAGATION_LIMIT);
     for node in 0..site.nodes.len() {
         assert_eq!(send(&site, node, "revoked"), 401, "at {node}");
     }
@@ -208,63 +214,64 @@
 
 #[test]
 fn leaving_stays() {
-    // The copy says that a target is ready which had said that it leaves.
+    // The copy says that a target is ready that had announced that it leaves.
     let site = start_site(&["one", "two"]);
     let leaving = site.target("a1", "booking", QUICK);
     catch_up(&site, 4);
     let copy = site.store.snapshot();
     leaving.publish("draining");
     catch_up(&site, 5);
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(PROPAGATION_LIMIT);
     site.store.restore(copy);
     let before = leaving.arrivals().len();
-    assert_eq!(unserved_for(&site, REWRITTEN), 0);
+    assert_eq!(unserved_for(&site, REWRITE_TIME), 0);
     leaving.publish("draining");
-    assert_eq!(unserved_for(&site, REWRITTEN), 0);
+    assert_eq!(unserved_for(&site, REWRITE_TIME), 0);
     assert_eq!(leaving.arrivals().len() - before, 0);
 }
 
 #[test]
 fn gone_stays() {
-    // The copy has a target that ended meanwhile; its entry lapses again after some seconds.
+    // The copy holds a target that has ended in the meantime; its entry lapses again after some
+    // seconds.
     let site = start_site(&["one", "two"]);
     let gone = site.target("a1", "booking", QUICK);
     catch_up(&site, 4);
     let copy = site.store.snapshot();
     gone.unpublish();
     catch_up(&site, 5);
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(PROPAGATION_LIMIT);
     site.store.restore(copy);
     let before = gone.arrivals().len();
     assert_eq!(unserved_for(&site, Duration::from_millis(3600)), 0);
     gone.unpublish();
-    assert_eq!(unserved_for(&site, REWRITTEN), 0);
+    assert_eq!(unserved_for(&site, REWRITE_TIME), 0);
     assert_eq!(gone.arrivals().len() - before, 0);
 }
 
 #[test]
 fn gone_but_alive() {
-    // It lives and its entry stays, or is written anew: it is used again.
+    // The target is alive, and its entry stays or is rewritten: it is used again.
     for is_rewritten in [false, true] {
         let site = start_site(&["one"]);
-        let back = site.target("a1", "booking", QUICK);
+        let retry_after = site.target("a1", "booking", QUICK);
         catch_up(&site, 4);
         let copy = site.store.snapshot();
-        back.unpublish();
+        retry_after.unpublish();
         catch_up(&site, 5);
         site.store.restore(copy);
         if is_rewritten {
-            back.republish_changed();
+            retry_after.republish_changed();
         }
-        let before = back.arrivals().len();
+        let before = retry_after.arrivals().len();
         wait_until("it is used again", || {
             send(&site, 0, "any");
-            back.arrivals().len() > before
+            retry_after.arrivals().len() > before
         });
     }
 }
 
-/// Has the only target of a service be missing from the copy.
+/// Returns a site whose store was restored from a copy without the only target of a service.
 fn missing_target() -> (RouteSite, RouteTarget) {
     let mut site = RouteSite::new();
     site.target("s1", "sprog", ENGINE);
@@ -281,16 +288,17 @@
 #[test]
 fn missing_kept() {
     let (site, new) = missing_target();
-    assert_eq!(unserved_for(&site, REWRITTEN), 0);
+    assert_eq!(unserved_for(&site, REWRITE_TIME), 0);
     new.publish("ready");
-    assert_eq!(unserved_for(&site, REWRITTEN), 0);
+    assert_eq!(unserved_for(&site, REWRITE_TIME), 0);
 }
 
 #[test]
 fn missing_goes() {
-    // One that does not write again counts as gone, but not before the others had their time.
+    // A target that does not rewrite its entry counts as gone, but not before the others had time
+    // for it.
     let (site, new) = missing_target();
-    std::thread::sleep(2 * REWRITTEN);
+    std::thread::sleep(2 * REWRITE_TIME);
     let before = new.arrivals().len();
     unserved_for(&site, Duration::from_millis(300));
     assert_eq!(new.arrivals().len(), before);
@@ -298,7 +306,8 @@
 
 #[test]
 fn nodes_listed_again() {
-    // What the nodes wrote of themselves is gone; a node that starts finds the others all the same.
+    // The entries of the nodes themselves are lost; the nodes register again, so that a starting
+    // node finds them.
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let copy = site.store.snapshot();
