--- a/packages/turnford-serve/src/accept.rs
+++ b/packages/turnford-serve/src/accept.rs
@@ -33,8 +33,9 @@
 /// Maximum interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Accepts connections until `closing` is closed, and serves each in a task. Calls `beat` whenever
-/// a connection was accepted or the accept loop found none for a while.
+/// Accepts connections and serves each in a task. Once `closing` is closed, connections end after
+/// their responses. Calls `beat` whenever a connection was accepted or the accept loop found none
+/// for a while.
 pub(crate) async fn accept_connections<F, Fut>(
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
--- a/packages/turnford-serve/src/control.rs
+++ b/packages/turnford-serve/src/control.rs
@@ -55,9 +55,9 @@
     let executor = context.executor.clone();
     // These connections are few and short; they end with the process.
     let (_open, closing) = async_channel::bounded::<()>(1);
-    let probed = shared.clone();
+    let probe_shared = shared.clone();
     let answer = move |request| {
-        let answer = answer_readiness(&probed, request);
+        let answer = answer_readiness(&probe_shared, request);
         async move { answer }
     };
     let probes = accept_connections(
--- a/packages/turnford-serve/src/control/members.rs
+++ b/packages/turnford-serve/src/control/members.rs
@@ -115,25 +115,25 @@
         })
         .collect();
     live.sort_by(|left, right| left.name.cmp(&right.name));
-    let fleet = members.all().count() + 1;
+    let fleet_size = members.all().count() + 1;
     let now = context.now();
     let is_missing = |record: &&MemberRecord| {
         let is_dead = record.update.state == MemberState::Dead;
         is_dead && now.saturating_sub(record.since) < MISSING_PERIOD
     };
-    let missing = members.all().filter(is_missing).count();
+    let missing_count = members.all().filter(is_missing).count();
     let shared = &context.shared;
     let view = shared.view.load();
-    let is_unchanged = *view.members == live && view.fleet == fleet;
-    if is_unchanged && view.missing == missing {
+    let is_unchanged = *view.members == live && view.fleet_size == fleet_size;
+    if is_unchanged && view.missing_count == missing_count {
         return;
     }
     shared.metrics.members.set(live.len() as u64);
     let live = Arc::new(live);
     shared.set_view(|view| RouteView {
         members: live.clone(),
-        fleet,
-        missing,
+        fleet_size,
+        missing_count,
         ..view.clone()
     });
 }
--- a/packages/turnford-serve/src/crash.rs
+++ b/packages/turnford-serve/src/crash.rs
@@ -62,7 +62,7 @@
     broken_calls: RefCell<VecDeque<BrokenCall>>,
     /// Process starts of targets that left as planned, newest last.
     departed: RefCell<VecDeque<(TargetId, ProcessStart)>>,
-    /// Number of calls in flight at this node, by suspect.
+    /// Number of copies in flight at this node, by suspect.
     running: RefCell<HashMap<RequestDigest, usize>>,
 }
 
--- a/packages/turnford-serve/src/node.rs
+++ b/packages/turnford-serve/src/node.rs
@@ -253,10 +253,10 @@
     executor.spawn(probe_leaving(traffic.clone())).detach();
     executor.spawn(maintain_limits(traffic.clone())).detach();
     let listener = listeners.listener;
-    let limiting = traffic.clone();
-    let limits = move || limiting.current_view().config.limits;
-    let beating = traffic.shared.clone();
-    let beat = move || beating.heartbeat.beat(beating.now());
+    let limits_traffic = traffic.clone();
+    let limits = move || limits_traffic.current_view().config.limits;
+    let beat_shared = traffic.shared.clone();
+    let beat = move || beat_shared.heartbeat.beat(beat_shared.now());
     let handler = move |request| handle_client(traffic.clone(), request);
     let closing = signals.closing;
     let accept = accept_connections(executor.clone(), listener, limits, closing, beat, handler);
--- a/packages/turnford-serve/src/shared.rs
+++ b/packages/turnford-serve/src/shared.rs
@@ -58,21 +58,21 @@
     /// The other live nodes, sorted by name.
     pub(crate) members: Arc<Vec<FleetMember>>,
     /// Upper bound on the number of live nodes, including this one.
-    pub(crate) fleet: usize,
+    pub(crate) fleet_size: usize,
     /// Number of nodes among them that recently became unreachable without a planned stop.
-    pub(crate) missing: usize,
+    pub(crate) missing_count: usize,
 }
 
 impl RouteView {
     /// Returns the number of nodes that fleet-wide limits are divided by.
     pub(crate) fn share_count(&self) -> f64 {
-        self.fleet.max(MIN_FLEET_SIZE) as f64
+        self.fleet_size.max(MIN_FLEET_SIZE) as f64
     }
 
     /// Returns whether this node reaches at least half of the nodes that may be alive, including
     /// itself.
     pub(crate) fn reaches_half(&self) -> bool {
-        self.members.len() + 1 >= self.missing
+        self.members.len() + 1 >= self.missing_count
     }
 
     /// Returns whether requests can be served.
