--- a/packages/turnford-serve/src/batching.rs
+++ b/packages/turnford-serve/src/batching.rs
@@ -137,7 +137,7 @@
             released,
         })) if results.len() == works.len() => {
             let now = traffic.shared.now();
-            peer_state.heard.set(now);
+            peer_state.last_contact.set(now);
             cell_ref.context.record_waits(now, cell_ref.index, &waits);
             let results = results.into_iter();
             let outcomes = results
