--- a/packages/turnford/src/command/demo.rs
+++ b/packages/turnford/src/command/demo.rs
@@ -152,7 +152,7 @@
         node.stop();
         if unfinished > 0 {
             return Err(format!(
-                "{unfinished} requests were unfinished by the planned stop"
+                "{unfinished} requests were cut off by the planned stop"
             ));
         }
     }
--- a/packages/turnford/tests/soak/check.rs
+++ b/packages/turnford/tests/soak/check.rs
@@ -1,4 +1,4 @@
-//! The promises, checked from what clients and targets saw.
+//! Invariants, checked on the records of clients and targets.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,77 +7,79 @@
 use turnford_standin::RouteRun;
 use turnford_standin::RunKind;
 
-use crate::client::CallEnd;
 use crate::client::CallRecord;
+use crate::client::CallResult;
 
-/// Routes whose requests may run once at most.
+/// Routes whose requests may run at most once.
 const ONCE: [&str; 2] = ["hold", "reply"];
 
-/// Statuses that say that a request has not run and never will.
+/// Statuses that state that a request hasn't run and won't run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// Events of a whole stream.
+/// Events of a complete stream.
 const EVENTS: usize = 8;
 
-/// Part of the requests after all faults that must be served.
-const LEAST_SERVED: f64 = 0.97;
+/// Minimum ratio of served requests after all faults.
+const MIN_SERVED_RATIO: f64 = 0.97;
 
-/// Time after a fault from which nodes are held to it.
-const IN_TOUCH: Duration = Duration::from_secs(3);
+/// Time after a crash after which nodes must have shared it.
+const CRASH_SYNC_TIME: Duration = Duration::from_secs(3);
 
-/// Targets that a request may reach after that, once it has crashed three.
-const MORE_LIMIT: usize = 3;
+/// Targets that a request may still reach after that time, once it has crashed three.
+const LATE_REACH_LIMIT: usize = 3;
 
-/// A span of a node's life in which a rule holds or is harmed.
+/// A time interval of a node, such as a planned stop or a disturbance.
 #[derive(Clone, Debug)]
-pub(crate) struct NodeSpan {
+pub(crate) struct NodeInterval {
     pub(crate) node: usize,
     pub(crate) begin: Instant,
     pub(crate) end: Instant,
 }
 
-impl NodeSpan {
-    fn touches(&self, record: &CallRecord) -> bool {
+impl NodeInterval {
+    fn overlaps(&self, record: &CallRecord) -> bool {
         self.node == record.node && record.ended >= self.begin && record.sent <= self.end
     }
 }
 
-/// Returns what broke a promise.
+/// Returns requests that ran more than once, were reported falsely or got a wrong response.
 pub(crate) fn check_calls(records: &HashMap<String, CallRecord>, runs: &[RouteRun]) -> Vec<String> {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     for run in runs.iter().filter(|run| run.kind == RunKind::Request) {
         *counts.entry(&run.attempt).or_default() += 1;
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (attempt, count) in &counts {
         let Some(record) = records.get(*attempt) else {
-            broken.push(format!("{attempt} ran, and no client sent it"));
+            violations.push(format!("{attempt} ran, but no client sent it"));
             continue;
         };
         if ONCE.contains(&record.route.as_str()) && *count > 1 {
-            broken.push(format!("{attempt} ran {count} times: {record:?}"));
+            violations.push(format!("{attempt} ran {count} times: {record:?}"));
         }
     }
     for record in records.values() {
-        let CallEnd::Answer(status, stamp, body) = &record.end else {
+        let CallResult::Response(status, stamp, body) = &record.end else {
             continue;
         };
         let has_run = counts.contains_key(record.attempt.as_str());
         if NOT_RUN.contains(status) && has_run {
-            broken.push(format!("said not to have run, but it did: {record:?}"));
+            violations.push(format!("reported as not run, but it ran: {record:?}"));
         }
         if *status == 200 && !is_own_answer(record, stamp, body) {
-            broken.push(format!("not the whole answer of its own: {record:?}"));
+            violations.push(format!(
+                "incomplete or another request's response: {record:?}"
+            ));
         }
         if (400..500).contains(status) && !NOT_RUN.contains(status) {
-            broken.push(format!("a proper request denied: {record:?}"));
+            violations.push(format!("valid request rejected: {record:?}"));
         }
     }
-    broken
+    violations
 }
 
-/// Returns a line if a request that crashes targets reached more of them than it may: three, as long
-/// after it crashed the third as nodes take to be in touch.
+/// Returns a violation if a request that crashes targets still reached too many of them after it had
+/// crashed three and nodes had [`CRASH_SYNC_TIME`] to share that.
 pub(crate) fn check_crashing(records: &[CallRecord], runs: &[RouteRun]) -> Option<String> {
     let reached = records.iter().filter(|record| {
         let mut own = runs.iter().filter(|run| run.attempt == record.attempt);
@@ -87,11 +89,11 @@
     let third = reached.get(2)?.ended;
     let late = reached
         .iter()
-        .filter(|record| record.sent > third + IN_TOUCH);
+        .filter(|record| record.sent > third + CRASH_SYNC_TIME);
     let late = late.count();
-    (late > MORE_LIMIT).then(|| {
+    (late > LATE_REACH_LIMIT).then(|| {
         let all = reached.len();
-        format!("a request that crashes targets reached {late} later, {all} in all")
+        format!("a request that crashes targets reached {late} too late, {all} in total")
     })
 }
 
@@ -106,13 +108,13 @@
     body == events.collect::<String>()
 }
 
-/// Returns the requests that a planned stop cut: taken, run, and left without an answer, while
-/// nothing else harmed the node or its link, nor the target broke off.
+/// Returns the requests that a planned stop cut off: they ran and got no response, although neither
+/// the node nor its link was disturbed and the target didn't fail.
 pub(crate) fn check_stops(
     records: &HashMap<String, CallRecord>,
     runs: &[RouteRun],
-    stops: &[NodeSpan],
-    harms: &[NodeSpan],
+    stops: &[NodeInterval],
+    disturbances: &[NodeInterval],
 ) -> Vec<String> {
     let has_run = |record: &CallRecord| {
         let own = runs.iter().filter(|run| run.kind == RunKind::Request);
@@ -120,38 +122,42 @@
         own.peek().is_some() && own.all(|run| !run.is_faulted)
     };
     let cut = records.values().filter(|record| {
-        let is_cut = matches!(record.end, CallEnd::Broken(_));
-        let in_stop = stops.iter().any(|stop| stop.touches(record));
-        let in_harm = harms.iter().any(|harm| harm.touches(record));
-        is_cut && in_stop && !in_harm && has_run(record)
+        let is_cut = matches!(record.end, CallResult::Failed(_));
+        let in_stop = stops.iter().any(|stop| stop.overlaps(record));
+        let is_in_disturbance = disturbances
+            .iter()
+            .any(|disturbance| disturbance.overlaps(record));
+        is_cut && in_stop && !is_in_disturbance && has_run(record)
     });
-    cut.map(|record| format!("cut by a planned stop: {record:?}"))
+    cut.map(|record| format!("cut off by a planned stop: {record:?}"))
         .collect()
 }
 
-/// Returns a line if too few requests were served after all faults.
+/// Returns a violation if too few requests were served after all faults.
 pub(crate) fn check_recovery(
     records: &HashMap<String, CallRecord>,
-    settled: Instant,
+    recovered_by: Instant,
 ) -> Option<String> {
-    let late = records.values().filter(|record| record.sent >= settled);
+    let late = records
+        .values()
+        .filter(|record| record.sent >= recovered_by);
     let late: Vec<&CallRecord> = late.collect();
     let served = late
         .iter()
-        .filter(|record| matches!(record.end, CallEnd::Answer(200, ..)));
+        .filter(|record| matches!(record.end, CallResult::Response(200, ..)));
     let part = served.count() as f64 / late.len().max(1) as f64;
-    if late.is_empty() || part < LEAST_SERVED {
+    if late.is_empty() || part < MIN_SERVED_RATIO {
         let bad = late
             .iter()
-            .find(|record| !matches!(record.end, CallEnd::Answer(200, ..)));
+            .find(|record| !matches!(record.end, CallResult::Response(200, ..)));
         return Some(format!(
-            "{part:.3} of {} served after all faults, one that was not: {bad:?}",
+            "{part:.3} of {} served after all faults, example of a failure: {bad:?}",
             late.len()
         ));
     }
     None
 }
 
-/// Time after a target said that it leaves, or a configuration was written, by which all nodes keep
-/// to it, from the users' bounds with what a busy machine takes.
-pub(crate) const IN_FORCE: Duration = Duration::from_millis(2600);
+/// Time within which all nodes act on a leaving target or a new configuration: the bound specified by
+/// the users plus a margin for a busy machine.
+pub(crate) const PROPAGATION_TIME: Duration = Duration::from_millis(2600);
--- a/packages/turnford/tests/soak/client.rs
+++ b/packages/turnford/tests/soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients that call nodes through their links, and what became of each request.
+//! Clients that call nodes through the proxies, and the record of each request.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicBool;
@@ -19,34 +19,34 @@
 
 use crate::plan::node_count;
 
-/// Longest time that a client waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Time-out of a client's request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Pause of a client between two requests, at most.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Maximum pause of a client between two requests.
+const MAX_PAUSE: Duration = Duration::from_millis(250);
 
-/// Pause of a client that finds no node.
+/// Pause of a client if no node is ready.
 const NO_NODE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Body of the request that crashes targets.
-pub(crate) const CRASHING: &str = "what no target survives";
+/// Body of the request that crashes the targets that run it.
+pub(crate) const CRASHING_BODY: &str = "what no target survives";
 
 /// Route of that request.
 const CRASHING_ROUTE: &str = "reply";
 
-/// Pause between two copies of it.
+/// Pause between two copies of that request.
 const CRASHING_PAUSE: Duration = Duration::from_millis(120);
 
-/// How a request ended for its client.
+/// Result of a request at its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum CallEnd {
-    /// An answer: status, stamp and body.
-    Answer(u16, String, String),
-    /// No whole answer.
-    Broken(HttpError),
+pub(crate) enum CallResult {
+    /// A complete response: status, server stamp and body.
+    Response(u16, String, String),
+    /// No complete response.
+    Failed(HttpError),
 }
 
-/// One request.
+/// A request that ended.
 #[derive(Clone, Debug)]
 pub(crate) struct CallRecord {
     pub(crate) attempt: String,
@@ -54,25 +54,25 @@
     pub(crate) node: usize,
     pub(crate) sent: Instant,
     pub(crate) ended: Instant,
-    pub(crate) end: CallEnd,
-    /// Whether the answer says that its target leaves.
-    pub(crate) says_leaving: bool,
+    pub(crate) end: CallResult,
+    /// Whether the response announces that its target is leaving.
+    pub(crate) announced_leaving: bool,
 }
 
-/// What all clients share.
-pub(crate) struct ClientRoom {
+/// State that all clients share.
+pub(crate) struct ClientContext {
     pub(crate) links: Vec<LinkProxy>,
-    /// Whether the platform would send new connections to a node.
+    /// For each node, whether the platform would route new connections to it.
     pub(crate) ready: Vec<AtomicBool>,
     pub(crate) calls: Vec<RouteCall>,
     records: Mutex<Vec<CallRecord>>,
     /// Requests that crash targets.
     crashing: Mutex<Vec<CallRecord>>,
     pub(crate) is_over: AtomicBool,
-    numbers: AtomicU64,
+    next_number: AtomicU64,
 }
 
-impl ClientRoom {
+impl ClientContext {
     pub(crate) fn new(links: Vec<LinkProxy>, calls: Vec<RouteCall>) -> Arc<Self> {
         Arc::new(Self {
             links,
@@ -81,11 +81,11 @@
             records: Mutex::default(),
             crashing: Mutex::default(),
             is_over: AtomicBool::new(false),
-            numbers: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
         })
     }
 
-    /// Returns all requests that ended, by their ids.
+    /// Returns all requests that ended, by attempt id.
     pub(crate) fn ended(&self) -> HashMap<String, CallRecord> {
         let records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         let pairs = records
@@ -99,7 +99,7 @@
         records.push(record);
     }
 
-    /// Returns the requests that crash targets, in their order.
+    /// Returns the requests that crash targets, in the order of their ends.
     pub(crate) fn crashing(&self) -> Vec<CallRecord> {
         let records = self.crashing.lock();
         records.unwrap_or_else(PoisonError::into_inner).clone()
@@ -115,13 +115,13 @@
     }
 }
 
-/// Sends one request after the other; a client keeps its connection until it breaks.
-pub(crate) async fn run_client(room: Arc<ClientRoom>) {
+/// Sends one request after the other; a client keeps its connection until a request fails.
+pub(crate) async fn run_client(context: Arc<ClientContext>) {
     let mut kept: Option<(usize, HttpClient)> = None;
-    while !room.is_over.load(Ordering::SeqCst) {
+    while !context.is_over.load(Ordering::SeqCst) {
         let (node, client) = match kept.take() {
             Some(kept) => kept,
-            None => match room.choose_node() {
+            None => match context.choose_node() {
                 Some(node) => (node, HttpClient::new()),
                 None => {
                     Timer::after(NO_NODE_PAUSE).await;
@@ -129,55 +129,61 @@
                 }
             },
         };
-        let call = &room.calls[rand::rng().random_range(0..room.calls.len())];
-        let record = send_one(&room, node, &client, call, "").await;
-        let is_kept = matches!(record.end, CallEnd::Answer(..));
-        room.add(record);
+        let call = &context.calls[rand::rng().random_range(0..context.calls.len())];
+        let record = send_one(&context, node, &client, call, "").await;
+        let is_kept = matches!(record.end, CallResult::Response(..));
+        context.add(record);
         if is_kept {
             kept = Some((node, client));
         }
-        let pause = LONGEST_PAUSE.mul_f64(rand::rng().random());
+        let pause = MAX_PAUSE.mul_f64(rand::rng().random());
         Timer::after(pause).await;
     }
 }
 
-/// Sends a request that crashes targets, again and again to whichever node, until a moment.
-pub(crate) async fn run_crashing(room: Arc<ClientRoom>, until: Instant) {
-    let call = room.calls.iter().find(|call| call.name == CRASHING_ROUTE);
+/// Repeatedly sends a request that crashes targets, to random nodes, until the given instant.
+pub(crate) async fn run_crashing(context: Arc<ClientContext>, until: Instant) {
+    let call = context
+        .calls
+        .iter()
+        .find(|call| call.name == CRASHING_ROUTE);
     let call = call.expect("a route with streams").clone();
     while Instant::now() < until {
         Timer::after(CRASHING_PAUSE).await;
-        let Some(node) = room.choose_node() else {
+        let Some(node) = context.choose_node() else {
             continue;
         };
-        let record = send_one(&room, node, &HttpClient::new(), &call, CRASHING).await;
-        let mut records = room.crashing.lock().unwrap_or_else(PoisonError::into_inner);
+        let record = send_one(&context, node, &HttpClient::new(), &call, CRASHING_BODY).await;
+        let mut records = context
+            .crashing
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         records.push(record);
     }
 }
 
 async fn send_one(
-    room: &ClientRoom,
+    context: &ClientContext,
     node: usize,
     client: &HttpClient,
     call: &RouteCall,
     body: &'static str,
 ) -> CallRecord {
-    let number = room.numbers.fetch_add(1, Ordering::SeqCst);
+    let number = context.next_number.fetch_add(1, Ordering::SeqCst);
     let attempt = format!("{number:016x}");
-    let to = room.links[node].address;
+    let to = context.links[node].address;
     let sent = Instant::now();
     let mut request = call.request(to, &attempt).expect("a path");
     request.set_body(body);
-    let mut says_leaving = false;
-    let end = match client.send(to, request, PATIENCE).await {
+    let mut announced_leaving = false;
+    let end = match client.send(to, request, REQUEST_TIMEOUT).await {
         Ok(answer) => {
-            says_leaving = answer.header("server-leaving") == Some("1");
+            announced_leaving = answer.header("server-leaving") == Some("1");
             let stamp = answer.header("x-turnford-server-stamp").unwrap_or("");
             let body = String::from_utf8_lossy(&answer.body).into_owned();
-            CallEnd::Answer(answer.status, stamp.to_owned(), body)
+            CallResult::Response(answer.status, stamp.to_owned(), body)
         }
-        Err(fault) => CallEnd::Broken(fault),
+        Err(fault) => CallResult::Failed(fault),
     };
     CallRecord {
         attempt,
@@ -186,6 +192,6 @@
         sent,
         ended: Instant::now(),
         end,
-        says_leaving,
+        announced_leaving,
     }
 }
--- a/packages/turnford/tests/soak/main.rs
+++ b/packages/turnford/tests/soak/main.rs
@@ -1,8 +1,8 @@
-//! Randomised runs of the real program as separate processes, with faults from outside them.
+//! Randomised fault-injection runs against the real program.
 //!
-//! The site (store, targets, clients) is in this process; each node is a process of its own, and
-//! its links to the store and to clients pass through proxies. A plan is drawn from a seed; what
-//! happens in between differs from run to run as timing does.
+//! The site (store, targets, clients) is in this process; each node is a separate process whose
+//! connections to the store and to clients pass through proxies. The fault plan is derived from a
+//! seed; the timing between the faults differs from run to run.
 
 mod check;
 mod client;
@@ -11,56 +11,56 @@
 mod run;
 mod word;
 
-use run::play;
+use run::run_seed;
 
-/// Seeds that CI plays beside those that failed once.
+/// Seeds that CI runs in addition to the regression seeds.
 const SHORT_SEEDS: [u64; 2] = [1, 2];
 
-/// Seeds that failed once, with what was behind it.
-const KEPT_SEEDS: [(u64, &str); 4] = [
+/// Seeds that failed in the past, with the cause.
+const REGRESSION_SEEDS: [(u64, &str); 4] = [
     (
         301,
-        "the check took an answer that its target broke off for one cut by a planned stop",
+        "the check attributed a response that the target truncated to a planned stop",
     ),
     (
         526,
-        "the check took a node that had just been started for one with an old configuration",
+        "the check reported a node that had just been started as having an old configuration",
     ),
     (
         707,
-        "the check took a request that reached a target after it had started again for one to the process \
-         that left: it went by when the client had sent it",
+        "the check attributed a request that reached a restarted target to the process that had left: it \
+         compared the time at which the client had sent the request",
     ),
     (
         1135,
-        "the check took the word of a second target, which served a request, for one of the first, which had \
-         turned it away",
+        "the check attributed the announcement of the target that served a request to the one that had \
+         rejected it first",
     ),
 ];
 
-/// Variable that names the seeds of a long run, as in `100..150`.
+/// Environment variable with the seeds of a long run, such as `100..150`.
 const SEEDS_VARIABLE: &str = "TURNFORD_SOAK_SEEDS";
 
-/// Runs that play side by side.
-const SIDE_BY_SIDE: usize = 4;
+/// Runs that execute in parallel.
+const PARALLEL_RUNS: usize = 4;
 
-fn play_all(seeds: Vec<u64>) {
+fn run_seeds(seeds: Vec<u64>) {
     let mut failures = Vec::new();
-    for part in seeds.chunks(SIDE_BY_SIDE) {
+    for part in seeds.chunks(PARALLEL_RUNS) {
         let runs = part.iter().map(|&seed| {
-            let run = std::thread::spawn(move || play(seed));
+            let run = std::thread::spawn(move || run_seed(seed));
             (seed, run)
         });
         let runs: Vec<_> = runs.collect();
         for (seed, run) in runs {
-            let (broken, folder) = run.join().expect("a run that ends");
-            println!("seed {seed}: {} promises broken", broken.len());
-            if broken.is_empty() {
-                // The logs of a clean run are of no use.
+            let (violations, folder) = run.join().expect("a run that ends");
+            println!("seed {seed}: {} violations", violations.len());
+            if violations.is_empty() {
+                // Only the logs of failed runs are kept.
                 let _ = std::fs::remove_dir_all(folder);
                 continue;
             }
-            let first: Vec<&String> = broken.iter().take(5).collect();
+            let first: Vec<&String> = violations.iter().take(5).collect();
             failures.push(format!(
                 "seed {seed}, logs in {}: {first:#?}",
                 folder.display()
@@ -72,8 +72,8 @@
 
 #[test]
 fn short_run() {
-    let kept = KEPT_SEEDS.iter().map(|(seed, _)| *seed);
-    play_all(SHORT_SEEDS.into_iter().chain(kept).collect());
+    let kept = REGRESSION_SEEDS.iter().map(|(seed, _)| *seed);
+    run_seeds(SHORT_SEEDS.into_iter().chain(kept).collect());
 }
 
 #[test]
@@ -83,5 +83,5 @@
     let (first, end) = text.split_once("..").expect("two numbers with .. between");
     let first: u64 = first.parse().expect("a number before ..");
     let end: u64 = end.parse().expect("a number after ..");
-    play_all((first..end).collect());
+    run_seeds((first..end).collect());
 }
--- a/packages/turnford/tests/soak/plan.rs
+++ b/packages/turnford/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong and when, drawn from a seed.
+//! The fault plan of a run, derived from a seed.
 
 use std::time::Duration;
 
@@ -8,88 +8,89 @@
 use turnford_standin::LinkState;
 use turnford_standin::TargetFault;
 
-/// Nodes of a run, if nothing else is said.
+/// Default number of nodes.
 const NODES: usize = 5;
 
-/// Variable that names the nodes of a long run, up to what the machine bears.
+/// Environment variable with the number of nodes of a long run, limited by the machine's capacity.
 const NODES_VARIABLE: &str = "TURNFORD_SOAK_NODES";
 
-/// Part of the runs in which a client sends a request that crashes the targets that run it.
+/// Ratio of the runs in which a client sends a request that crashes the targets that run it.
 const CRASHING_PART: f64 = 0.5;
 
-/// Targets of a run's site: two of each of five services.
+/// Targets of a run's site: two for each of five services.
 pub(crate) const TARGETS: usize = 10;
 
-/// Time before the first fault, in which nodes find each other.
-const LEAD: Duration = Duration::from_secs(4);
+/// Time before the first fault, in which nodes discover each other.
+const WARM_UP: Duration = Duration::from_secs(4);
 
-/// Time in which faults begin.
-const FAULT_SPAN: Duration = Duration::from_secs(9);
+/// Length of the period in which faults begin.
+const FAULT_PERIOD: Duration = Duration::from_secs(9);
 
-/// Faults of one run.
+/// Basic faults per run.
 const FAULTS: usize = 14;
 
-/// Faults of one run that have to do with large configurations and silent connections.
+/// Faults per run that concern large configurations and stalled connections.
 const LINK_FAULTS: usize = 4;
 
-/// Faults of one run that have to do with what targets say in their answers, and with the store's copies.
-const WORD_FAULTS: usize = 6;
+/// Faults per run that concern announcements of targets and the store's snapshots.
+const ANNOUNCEMENT_FAULTS: usize = 6;
 
-/// Targets of one run that name a limit for all nodes together, and the limits.
+/// Number of announcements per run of a limit for all nodes together, and the possible limits in calls
+/// per second.
 const LIMITS: usize = 5;
 const LIMIT_RATES: [&str; 4] = ["0", "0.5", "1", "2"];
 
-/// Time in which they begin: what comes after has to be over with the last fault.
-const LIMIT_BEGIN_SPAN: Duration = Duration::from_secs(2);
+/// Length of the period in which announced limits begin; short, so that they end with the last fault.
+const LIMIT_START_PERIOD: Duration = Duration::from_secs(2);
 
-/// What a slow link to the store carries, in bytes a second: the largest configuration of a run
-/// takes two seconds.
+/// Rate of a throttled link to the store in bytes per second; the largest configuration of a run takes
+/// two seconds at this rate.
 const SLOW_RATE: u32 = 200_000;
 
-/// Fault of one moment.
+/// A fault to inject.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
-    /// The node gets SIGTERM and is started again after its end.
+    /// The node receives SIGTERM and is restarted after it exited.
     Stop(usize),
-    /// The node is killed and started again.
+    /// The node is killed and restarted.
     Kill(usize),
-    /// All nodes are killed and started again.
+    /// All nodes are killed and restarted.
     KillAll,
-    /// The node stands still for a while.
+    /// The node is suspended for this time.
     Pause(usize, Duration),
-    /// The link of a node to the store, or of all nodes, is harmed for a while.
+    /// The link between a node, or all nodes, and the store is disturbed for this time.
     StoreLink(Option<usize>, LinkState, Duration),
-    /// The link between clients and a node is harmed for a while.
+    /// The link between clients and a node is disturbed for this time.
     ClientLink(usize, LinkState, Duration),
-    /// Some calls of a target go wrong.
+    /// This number of calls of a target fail.
     Target(usize, TargetFault, usize),
-    /// The target says that it leaves; it is listed anew some seconds later.
+    /// The target's store entry is set to leaving; it is ready again some seconds later.
     Leave(usize),
     /// A configuration with a higher version is written.
     Config,
-    /// A configuration with many more routes is written.
+    /// A configuration with a higher version and many more routes is written.
     LargeConfig,
-    /// The open connections of a node to the store fall silent; new ones work.
-    StoreMute(usize),
-    /// The store forgets its history.
+    /// Data on a node's open connections to the store is discarded; new connections work.
+    BlackholeStore(usize),
+    /// The store compacts its history.
     Compact,
-    /// The target says in its answers that it leaves, while its entry says nothing of it.
-    SayLeaving(usize),
-    /// The target turns everything away for a while, and asks for rest.
-    Rest(usize, Duration),
-    /// The store is away for a moment and comes back from a copy that is so old.
-    Drill(Duration),
-    /// The target names a limit in its answers for a while.
+    /// The target announces in its responses that it is leaving, while its store entry is unchanged.
+    AnnounceLeaving(usize),
+    /// The target rejects all calls for this time and requests back-off.
+    Backoff(usize, Duration),
+    /// The store is briefly unavailable and is restored from a snapshot of this age.
+    RestoreStore(Duration),
+    /// The target announces a limit in its responses for this time.
     Limit(usize, &'static str, Duration),
 }
 
-/// Returns the number of nodes of each run.
+/// Returns the number of nodes per run.
 pub(crate) fn node_count() -> usize {
     let named = std::env::var(NODES_VARIABLE).ok();
     named.map_or(NODES, |text| text.parse().expect("a number of nodes"))
 }
 
-/// The faults of a run in the order of their times.
+/// The faults of a run, ordered by time.
 #[derive(Clone, Debug)]
 pub(crate) struct FaultPlan {
     /// Whether a client sends a request that crashes targets while faults begin.
@@ -98,34 +99,32 @@
 }
 
 impl FaultPlan {
-    /// Draws a plan.
+    /// Derives a plan from a seed.
     pub(crate) fn new(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut steps = Vec::with_capacity(FAULTS);
         for _ in 0..FAULTS {
-            let at = LEAD + FAULT_SPAN.mul_f64(rng.random());
-            steps.push((at, draw_fault(&mut rng)));
+            let at = WARM_UP + FAULT_PERIOD.mul_f64(rng.random());
+            steps.push((at, random_fault(&mut rng)));
         }
-        // Drawn apart, so that what a seed meant before these were added stays.
+        // Each group has its own generator, so that adding a group doesn't change the plans of existing
+        // seeds.
         let mut rng = StdRng::seed_from_u64(!seed);
         for _ in 0..LINK_FAULTS {
-            let at = LEAD + FAULT_SPAN.mul_f64(rng.random());
-            steps.push((at, draw_link_fault(&mut rng)));
+            let at = WARM_UP + FAULT_PERIOD.mul_f64(rng.random());
+            steps.push((at, random_link_fault(&mut rng)));
         }
-        // Drawn apart, too.
         let mut rng = StdRng::seed_from_u64(seed.rotate_left(31));
-        for _ in 0..WORD_FAULTS {
-            let at = LEAD + FAULT_SPAN.mul_f64(rng.random());
-            steps.push((at, draw_word_fault(&mut rng)));
+        for _ in 0..ANNOUNCEMENT_FAULTS {
+            let at = WARM_UP + FAULT_PERIOD.mul_f64(rng.random());
+            steps.push((at, random_announcement_fault(&mut rng)));
         }
-        // Drawn apart, too.
         let mut rng = StdRng::seed_from_u64(seed.rotate_left(47));
         for _ in 0..LIMITS {
-            let at = LEAD + LIMIT_BEGIN_SPAN.mul_f64(rng.random());
-            steps.push((at, draw_limit(&mut rng)));
+            let at = WARM_UP + LIMIT_START_PERIOD.mul_f64(rng.random());
+            steps.push((at, random_limit(&mut rng)));
         }
         steps.sort_by_key(|(at, _)| *at);
-        // Drawn apart, too.
         let mut rng = StdRng::seed_from_u64(seed.rotate_left(17));
         Self {
             has_crashing: rng.random_bool(CRASHING_PART),
@@ -133,24 +132,24 @@
         }
     }
 
-    /// Returns the time in which faults begin.
-    pub(crate) fn fault_span() -> (Duration, Duration) {
-        (LEAD, LEAD + FAULT_SPAN)
+    /// Returns the begin and end of the period in which faults begin.
+    pub(crate) fn fault_period() -> (Duration, Duration) {
+        (WARM_UP, WARM_UP + FAULT_PERIOD)
     }
 
-    /// Tells whether all nodes are killed together, after which none knows anything of before.
+    /// Returns whether all nodes are killed at once, which loses everything that nodes hold in memory.
     pub(crate) fn kills_all(&self) -> bool {
         let mut faults = self.steps.iter().map(|(_, fault)| fault);
         faults.any(|fault| matches!(fault, Fault::KillAll))
     }
 
-    /// Returns when the last fault is over, with what nodes need to find back.
-    pub(crate) fn settled_at() -> Duration {
-        LEAD + FAULT_SPAN + Duration::from_secs(9)
+    /// Returns the time at which the last fault is over and nodes must have recovered.
+    pub(crate) fn recovery_deadline() -> Duration {
+        WARM_UP + FAULT_PERIOD + Duration::from_secs(9)
     }
 }
 
-fn draw_fault(rng: &mut StdRng) -> Fault {
+fn random_fault(rng: &mut StdRng) -> Fault {
     let node = rng.random_range(0..node_count());
     let target = rng.random_range(0..TARGETS);
     let span = Duration::from_millis(rng.random_range(300..3500));
@@ -159,44 +158,44 @@
         3..6 => Fault::Kill(node),
         6 => Fault::KillAll,
         7..9 => Fault::Pause(node, span),
-        9..11 => Fault::StoreLink(Some(node), draw_link(rng), span),
-        11 => Fault::StoreLink(None, draw_link(rng), span),
-        12..14 => Fault::ClientLink(node, draw_link(rng), span),
-        14..17 => Fault::Target(target, draw_target_fault(rng), rng.random_range(1..8)),
+        9..11 => Fault::StoreLink(Some(node), random_link_state(rng), span),
+        11 => Fault::StoreLink(None, random_link_state(rng), span),
+        12..14 => Fault::ClientLink(node, random_link_state(rng), span),
+        14..17 => Fault::Target(target, random_target_fault(rng), rng.random_range(1..8)),
         17..19 => Fault::Leave(target),
         19..21 => Fault::Config,
         _ => Fault::Compact,
     }
 }
 
-fn draw_link_fault(rng: &mut StdRng) -> Fault {
+fn random_link_fault(rng: &mut StdRng) -> Fault {
     let node = rng.random_range(0..node_count());
     let span = Duration::from_millis(rng.random_range(1000..5000));
     match rng.random_range(0..4) {
-        0 => Fault::StoreMute(node),
+        0 => Fault::BlackholeStore(node),
         1 => Fault::StoreLink(Some(node), LinkState::Throttled(SLOW_RATE), span),
         _ => Fault::LargeConfig,
     }
 }
 
-fn draw_word_fault(rng: &mut StdRng) -> Fault {
+fn random_announcement_fault(rng: &mut StdRng) -> Fault {
     let target = rng.random_range(0..TARGETS);
     let span = Duration::from_millis(rng.random_range(1000..4000));
     match rng.random_range(0..6) {
-        0..2 => Fault::SayLeaving(target),
-        2..5 => Fault::Rest(target, span),
-        _ => Fault::Drill(span),
+        0..2 => Fault::AnnounceLeaving(target),
+        2..5 => Fault::Backoff(target, span),
+        _ => Fault::RestoreStore(span),
     }
 }
 
-fn draw_limit(rng: &mut StdRng) -> Fault {
+fn random_limit(rng: &mut StdRng) -> Fault {
     let target = rng.random_range(0..TARGETS);
     let span = Duration::from_millis(rng.random_range(10_000..12_000));
     let rate = LIMIT_RATES[rng.random_range(0..LIMIT_RATES.len())];
     Fault::Limit(target, rate, span)
 }
 
-fn draw_link(rng: &mut StdRng) -> LinkState {
+fn random_link_state(rng: &mut StdRng) -> LinkState {
     let delay = Duration::from_millis(rng.random_range(20..400));
     let states = [
         LinkState::Delayed(delay),
@@ -208,7 +207,7 @@
     states[rng.random_range(0..states.len())]
 }
 
-fn draw_target_fault(rng: &mut StdRng) -> TargetFault {
+fn random_target_fault(rng: &mut StdRng) -> TargetFault {
     let slow = Duration::from_millis(rng.random_range(50..900));
     let faults = [
         TargetFault::Reject,
--- a/packages/turnford/tests/soak/process.rs
+++ b/packages/turnford/tests/soak/process.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own.
+//! A node as a separate process.
 
 use std::fs::File;
 use std::net::Ipv4Addr;
@@ -15,17 +15,17 @@
 use rustix::process::Pid;
 use rustix::process::Signal;
 
-/// Ports of a node; each has an address of its own on loopback.
+/// Ports of a node; each node has its own loopback address.
 const LISTEN_PORT: u16 = 7740;
 const READY_PORT: u16 = 7741;
 const INNER_PORT: u16 = 7742;
 const WORK_PORT: u16 = 7743;
 const METRICS_PORT: u16 = 7744;
 
-/// Grace time of a planned stop, in seconds.
-pub(crate) const GRACE_S: u64 = 6;
+/// Grace period of a planned stop, in seconds.
+pub(crate) const GRACE_PERIOD_S: u64 = 6;
 
-/// A node's place: its address, settings and log.
+/// A node's address, settings and log file, and its process if one is running.
 pub(crate) struct NodeProcess {
     pub(crate) name: String,
     ip: Ipv4Addr,
@@ -37,7 +37,7 @@
 }
 
 impl NodeProcess {
-    /// Lays a node's settings down; `run` is a number that no other run at this time has.
+    /// Writes a node's settings file; `run` must be unique among concurrent runs.
     pub(crate) fn new(folder: &Path, run: u16, number: usize, store: SocketAddr) -> Self {
         let name = format!("node-{number}");
         let [high, low] = run.to_be_bytes();
@@ -48,7 +48,7 @@
         let text = format!(
             "name = \"{name}\"\nhall = \"hal-a\"\nregion = \"dk-vest\"\nlisten = \"{}\"\n\
              ready = \"{}\"\ninner = \"{}\"\nwork = \"{}\"\nmetrics = \"{}\"\nstore = \"{store}\"\n\
-             peers = []\nstop_grace_s = {GRACE_S}\n\n[log]\nlevel = \"info\"\n",
+             peers = []\nstop_grace_s = {GRACE_PERIOD_S}\n\n[log]\nlevel = \"info\"\n",
             at(LISTEN_PORT),
             at(READY_PORT),
             at(INNER_PORT),
@@ -80,17 +80,17 @@
         SocketAddr::from((self.ip, METRICS_PORT))
     }
 
-    /// Number of starts so far; each is a new process.
+    /// Returns the number of times that a process was started.
     pub(crate) fn starts(&self) -> usize {
         self.starts
     }
 
-    /// Returns the time since the process was started.
+    /// Returns the time since the last start.
     pub(crate) fn age(&self) -> Duration {
         self.started.map_or(Duration::ZERO, |at| at.elapsed())
     }
 
-    /// Starts the process; its log goes on in the same file.
+    /// Starts the process; its output is appended to the log file.
     pub(crate) fn start(&mut self) {
         let log = File::options().create(true).append(true).open(&self.log);
         let log = log.expect("a file for the log");
@@ -111,16 +111,16 @@
         self.child.is_some()
     }
 
-    /// Sends a signal, if the process runs.
+    /// Sends a signal if the process is running.
     pub(crate) fn signal(&self, signal: Signal) {
         let pid = self.child.as_ref().map(Pid::from_child);
         if let Some(pid) = pid {
-            // It may have ended by itself, which its status tells.
+            // The process may have exited already, which shows in its exit status.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Returns the process's status once it has ended; it no longer counts as running then.
+    /// Returns the exit status once the process has exited; afterwards it isn't running.
     pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().expect("a child's status")?;
         self.child = None;
@@ -131,7 +131,7 @@
 impl Drop for NodeProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // A stopped process is killed, too.
+            // SIGKILL also ends a process that is suspended by SIGSTOP.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/packages/turnford/tests/soak/run.rs
+++ b/packages/turnford/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run: the site, its nodes, the faults of a plan, and the promises.
+//! One run: the site, its nodes, the faults of a plan and the checks.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -25,94 +25,94 @@
 use crate::check::check_crashing;
 use crate::check::check_recovery;
 use crate::check::check_stops;
-use crate::check::NodeSpan;
-use crate::check::IN_FORCE;
+use crate::check::NodeInterval;
+use crate::check::PROPAGATION_TIME;
 use crate::client::run_client;
 use crate::client::run_crashing;
-use crate::client::ClientRoom;
-use crate::client::CRASHING;
+use crate::client::ClientContext;
+use crate::client::CRASHING_BODY;
 use crate::plan::node_count;
 use crate::plan::Fault;
 use crate::plan::FaultPlan;
 use crate::process::NodeProcess;
-use crate::process::GRACE_S;
+use crate::process::GRACE_PERIOD_S;
 use crate::word::check_leaving;
 use crate::word::check_limit;
 use crate::word::check_rests;
 use crate::word::last_targets;
-use crate::word::LimitSpan;
+use crate::word::LimitInterval;
 
 /// Clients of a run.
 const CLIENTS: usize = 24;
 
-/// Pause between steps of a run.
+/// Interval between steps of a run.
 const TICK: Duration = Duration::from_millis(20);
 
-/// Pause between questions whether nodes are ready, as the platform makes them.
-const READY_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between readiness probes, as the platform sends them.
+const READY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest wait for an answer about a node.
-const ASK_LIMIT: Duration = Duration::from_millis(400);
+/// Time-out of a call to a node's readiness or metrics address.
+const ASK_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time before a killed process is started again.
-const RESTART_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before an exited process is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Time in which a target that left comes back, as a new entry.
-const RETURN_PAUSE: Duration = Duration::from_secs(5);
+/// Delay after which a target that left is ready again.
+const RELIST_DELAY: Duration = Duration::from_secs(5);
 
-/// Time after a fault of a node for which it is not held to time bounds.
-const CONTACT_SPAN: Duration = Duration::from_secs(4);
+/// Time after a fault of a node during which time bounds aren't checked for it.
+const CONTACT_TIME: Duration = Duration::from_secs(4);
 
-/// Time after all faults in which requests must be served.
-const LAST_SPAN: Duration = Duration::from_secs(4);
+/// Length of the period after recovery in which requests must be served.
+const FINAL_PERIOD: Duration = Duration::from_secs(4);
 
-/// Time in which a node finds out that its connections to the store are silent: its longest watch
-/// and the margin of that.
-const MUTE_SPAN: Duration = Duration::from_secs(4);
+/// Time within which a node detects that its connections to the store are dead: its longest watch and
+/// the watch's margin.
+const BLACKHOLE_DETECTION_TIME: Duration = Duration::from_secs(4);
 
-/// Time in which a process that was started has a configuration.
-const START_SPAN: Duration = Duration::from_secs(2);
+/// Time within which a started process has a configuration.
+const START_TIME: Duration = Duration::from_secs(2);
 
-/// Routes that a large change adds; they have some 200 KB.
+/// Routes that a large change adds, about 200 KB.
 const ADDED_ROUTES: usize = 800;
 
-/// Age by which copies of the store are kept, the oldest that a drill takes.
-const COPY_SPAN: Duration = Duration::from_secs(4);
+/// Maximum age of a snapshot, which is the oldest that a restore uses.
+const SNAPSHOT_MAX_AGE: Duration = Duration::from_secs(4);
 
-/// Pause between copies of the store.
-const COPY_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between snapshots of the store.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which the store is away before it comes back from a copy.
-const DRILL_SPAN: Duration = Duration::from_millis(400);
+/// Time for which the store is unavailable before it is restored.
+const STORE_DOWNTIME: Duration = Duration::from_millis(400);
 
-/// Time after that in which the operator and the targets have written again what is missing.
-const REWRITE_SPAN: Duration = Duration::from_millis(1200);
+/// Time after a restore until the operator and the targets have rewritten what was lost.
+const REWRITE_TIME: Duration = Duration::from_millis(1200);
 
-/// Number of runs that this process has begun, for addresses of their own.
+/// Number of runs that this process has started; gives each run its own addresses.
 static RUNS: AtomicU16 = AtomicU16::new(0);
 
-/// Something that is to be done later.
-enum Later {
+/// A step that is scheduled for a later time.
+enum ScheduledStep {
     Start(usize),
-    Wake(usize),
+    Resume(usize),
     StoreLink(Option<usize>),
     ClientLink(usize),
-    Return(usize),
-    /// The target starts again and no longer says that it leaves.
-    Reborn(usize),
-    /// The target of a limit names none any more.
-    Unlimited(usize),
-    /// The store comes back from a copy.
-    Restore(Box<MetaSnapshot>),
-    /// The operator and the targets write again what they wrote.
+    Relist(usize),
+    /// The target restarts and no longer announces that it is leaving.
+    Restart(usize),
+    /// The target of a limit stops announcing it.
+    EndLimit(usize),
+    /// The store is restored from a snapshot.
+    RestoreStore(Box<MetaSnapshot>),
+    /// The operator and the targets rewrite their objects.
     Rewrite,
-    /// Check that a target has got nothing since it left.
-    Left(usize, usize),
+    /// Check that a target received no calls since it left.
+    CheckLeft(usize, usize),
     /// Check that a configuration is in force.
-    InForce(u64),
+    CheckVersion(u64),
 }
 
-/// A run.
+/// State of a run.
 struct SoakRun {
     executor: SharedExecutor,
     site: RouteSite,
@@ -120,57 +120,57 @@
     version: u64,
     nodes: Vec<NodeProcess>,
     stores: Vec<LinkProxy>,
-    room: Arc<ClientRoom>,
+    context: Arc<ClientContext>,
     client: HttpClient,
-    later: Vec<(Instant, Later)>,
-    /// Planned stops, from the signal to the end of the process.
-    stops: Vec<NodeSpan>,
-    /// Faults of nodes and their links.
-    harms: Vec<NodeSpan>,
+    scheduled: Vec<(Instant, ScheduledStep)>,
+    /// Planned stops, from the signal to the exit of the process.
+    stops: Vec<NodeInterval>,
+    /// Times in which nodes or their links were disturbed.
+    disturbances: Vec<NodeInterval>,
     stopping: HashMap<usize, Instant>,
-    /// Kills and freezes of nodes, after which what they heard before excuses them.
-    interrupts: Vec<NodeSpan>,
-    /// Copies of the store, the newest last.
-    copies: Vec<(Instant, MetaSnapshot)>,
-    /// Starts of targets under their ids, since the run began.
-    reborn: Vec<(String, Instant)>,
-    /// Limits that targets named.
-    limits: Vec<LimitSpan>,
-    /// Highest version that a process told, with the process's number.
-    told: HashMap<usize, (usize, u64)>,
-    broken: Vec<String>,
+    /// Kills and suspensions of nodes, which may have lost or missed announcements.
+    interruptions: Vec<NodeInterval>,
+    /// Snapshots of the store, the newest last.
+    snapshots: Vec<(Instant, MetaSnapshot)>,
+    /// Restarts of targets under the same id.
+    restarts: Vec<(String, Instant)>,
+    /// Limits that targets announced.
+    limits: Vec<LimitInterval>,
+    /// Last configuration version that each node reported, with the number of the process's start.
+    reported: HashMap<usize, (usize, u64)>,
+    violations: Vec<String>,
     folder: PathBuf,
 }
 
-/// Plays the plan of a seed; returns what broke a promise, and where the logs are.
-pub(crate) fn play(seed: u64) -> (Vec<String>, PathBuf) {
+/// Runs the plan of a seed; returns the violations and the directory of the logs.
+pub(crate) fn run_seed(seed: u64) -> (Vec<String>, PathBuf) {
     let mut run = SoakRun::start(seed);
     let plan = FaultPlan::new(seed);
-    let begun = Instant::now();
-    let settled = begun + FaultPlan::settled_at();
+    let started_at = Instant::now();
+    let recovered_by = started_at + FaultPlan::recovery_deadline();
     if plan.has_crashing {
-        run.start_crashing(begun);
+        run.start_crashing(started_at);
     }
-    let forgets = plan.kills_all();
+    let kills_all = plan.kills_all();
     let mut steps = plan.steps.into_iter().peekable();
-    let mut ask_at = begun;
-    while Instant::now() < settled + LAST_SPAN {
+    let mut next_poll = started_at;
+    while Instant::now() < recovered_by + FINAL_PERIOD {
         while steps
-            .next_if(|(at, _)| begun + *at <= Instant::now())
+            .next_if(|(at, _)| started_at + *at <= Instant::now())
             .map(|(_, fault)| run.apply(fault))
             .is_some()
         {}
-        run.keep_copy();
-        run.do_due();
-        run.watch_ends();
-        if Instant::now() >= ask_at {
-            ask_at = Instant::now() + READY_PAUSE;
-            run.ask_nodes();
+        run.take_snapshot();
+        run.run_due_steps();
+        run.restart_exited();
+        if Instant::now() >= next_poll {
+            next_poll = Instant::now() + READY_INTERVAL;
+            run.poll_nodes();
         }
         std::thread::sleep(TICK);
     }
-    run.finish(settled, forgets);
-    (run.broken.clone(), run.folder.clone())
+    run.finish(recovered_by, kills_all);
+    (run.violations.clone(), run.folder.clone())
 }
 
 impl SoakRun {
@@ -195,9 +195,9 @@
             nodes.push(process);
             stores.push(store);
         }
-        let room = ClientRoom::new(links, site.calls());
+        let context = ClientContext::new(links, site.calls());
         for _ in 0..CLIENTS {
-            executor.spawn(run_client(room.clone())).detach();
+            executor.spawn(run_client(context.clone())).detach();
         }
         let config: Value = serde_json::from_str(config).expect("a configuration");
         Self {
@@ -207,54 +207,54 @@
             site,
             nodes,
             stores,
-            room,
+            context,
             client: HttpClient::new(),
-            later: Vec::new(),
+            scheduled: Vec::new(),
             stops: Vec::new(),
-            harms: Vec::new(),
+            disturbances: Vec::new(),
             stopping: HashMap::new(),
-            interrupts: Vec::new(),
-            copies: Vec::new(),
-            reborn: Vec::new(),
+            interruptions: Vec::new(),
+            snapshots: Vec::new(),
+            restarts: Vec::new(),
             limits: Vec::new(),
-            told: HashMap::new(),
-            broken: Vec::new(),
+            reported: HashMap::new(),
+            violations: Vec::new(),
             folder,
         }
     }
 
-    fn after(&mut self, span: Duration, later: Later) {
-        self.later.push((Instant::now() + span, later));
+    fn after(&mut self, span: Duration, step: ScheduledStep) {
+        self.scheduled.push((Instant::now() + span, step));
     }
 
-    fn harm(&mut self, node: usize, span: Duration) {
+    fn record_disturbance(&mut self, node: usize, span: Duration) {
         let begin = Instant::now();
-        self.harms.push(NodeSpan {
+        self.disturbances.push(NodeInterval {
             node,
             begin,
             end: begin + span,
         });
     }
 
-    fn interrupt(&mut self, node: usize, span: Duration) {
+    fn record_interruption(&mut self, node: usize, span: Duration) {
         let begin = Instant::now();
-        self.interrupts.push(NodeSpan {
+        self.interruptions.push(NodeInterval {
             node,
             begin,
             end: begin + span,
         });
     }
 
-    /// Has a client send a request that crashes targets while faults begin.
-    fn start_crashing(&self, begun: Instant) {
+    /// Starts a client that sends a request that crashes targets during the fault period.
+    fn start_crashing(&self, started_at: Instant) {
         for target in &self.site.targets {
-            target.crash_on(CRASHING);
+            target.crash_on(CRASHING_BODY);
         }
-        let (lead, end) = FaultPlan::fault_span();
-        let room = self.room.clone();
+        let (lead, end) = FaultPlan::fault_period();
+        let context = self.context.clone();
         let send = async move {
             Timer::after(lead).await;
-            run_crashing(room, begun + end).await;
+            run_crashing(context, started_at + end).await;
         };
         self.executor.spawn(send).detach();
     }
@@ -271,22 +271,22 @@
             Fault::Kill(node) => self.kill(node),
             Fault::KillAll => (0..node_count()).for_each(|node| self.kill(node)),
             Fault::Pause(node, span) => {
-                self.harm(node, span + CONTACT_SPAN);
-                self.interrupt(node, span);
+                self.record_disturbance(node, span + CONTACT_TIME);
+                self.record_interruption(node, span);
                 self.nodes[node].signal(Signal::STOP);
-                self.after(span, Later::Wake(node));
+                self.after(span, ScheduledStep::Resume(node));
             }
             Fault::StoreLink(node, state, span) => {
                 for node in node.map_or(0..node_count(), |node| node..node + 1) {
-                    self.harm(node, span + CONTACT_SPAN);
+                    self.record_disturbance(node, span + CONTACT_TIME);
                     self.stores[node].set(state);
                 }
-                self.after(span, Later::StoreLink(node));
+                self.after(span, ScheduledStep::StoreLink(node));
             }
             Fault::ClientLink(node, state, span) => {
-                self.harm(node, span + CONTACT_SPAN);
-                self.room.links[node].set(state);
-                self.after(span, Later::ClientLink(node));
+                self.record_disturbance(node, span + CONTACT_TIME);
+                self.context.links[node].set(state);
+                self.after(span, ScheduledStep::ClientLink(node));
             }
             Fault::Target(target, fault, count) => {
                 self.site.targets[target].inject_faults(vec![fault; count]);
@@ -294,67 +294,68 @@
             Fault::Leave(target) => {
                 self.site.targets[target].publish("draining");
                 self.after(
-                    IN_FORCE,
-                    Later::Left(target, self.site.journal.runs().len()),
+                    PROPAGATION_TIME,
+                    ScheduledStep::CheckLeft(target, self.site.journal.runs().len()),
                 );
-                self.after(RETURN_PAUSE, Later::Return(target));
+                self.after(RELIST_DELAY, ScheduledStep::Relist(target));
             }
             Fault::Config => self.write_config(),
             Fault::LargeConfig => {
                 self.add_routes();
                 self.write_config();
             }
-            Fault::StoreMute(node) => {
-                self.harm(node, MUTE_SPAN + CONTACT_SPAN);
+            Fault::BlackholeStore(node) => {
+                self.record_disturbance(node, BLACKHOLE_DETECTION_TIME + CONTACT_TIME);
                 self.stores[node].blackhole_open();
             }
             Fault::Compact => self.site.store.compact_history(),
-            Fault::SayLeaving(target) => {
+            Fault::AnnounceLeaving(target) => {
                 self.site.targets[target].announce_leaving(true);
-                self.after(RETURN_PAUSE, Later::Reborn(target));
+                self.after(RELIST_DELAY, ScheduledStep::Restart(target));
             }
-            Fault::Rest(target, span) => self.site.targets[target].request_backoff(span),
-            Fault::Drill(age) => self.begin_drill(age),
+            Fault::Backoff(target, span) => self.site.targets[target].request_backoff(span),
+            Fault::RestoreStore(age) => self.begin_store_restore(age),
             Fault::Limit(target, rate, span) => {
                 let target = &self.site.targets[target];
                 target.announce_limit(Some(rate));
                 let begin = Instant::now();
-                self.limits.push(LimitSpan {
+                self.limits.push(LimitInterval {
                     target: target.clone(),
                     rate: rate.parse().expect("a rate"),
                     begin,
                     end: begin + span,
                 });
-                self.after(span, Later::Unlimited(self.limits.len() - 1));
+                self.after(span, ScheduledStep::EndLimit(self.limits.len() - 1));
             }
         }
     }
 
-    /// Has the store be away for a moment, and come back from a copy that is so old.
-    fn begin_drill(&mut self, age: Duration) {
+    /// Makes the store unavailable and schedules its restore from a snapshot of the given age.
+    fn begin_store_restore(&mut self, age: Duration) {
         let taken = Instant::now().checked_sub(age);
-        let copy = self.copies.iter().find(|(at, _)| Some(*at) >= taken);
-        let Some((_, copy)) = copy else {
+        let snapshot = self.snapshots.iter().find(|(at, _)| Some(*at) >= taken);
+        let Some((_, snapshot)) = snapshot else {
             return;
         };
-        let copy = Box::new(copy.clone());
+        let snapshot = Box::new(snapshot.clone());
         for node in 0..node_count() {
-            self.harm(node, DRILL_SPAN + REWRITE_SPAN + CONTACT_SPAN);
+            self.record_disturbance(node, STORE_DOWNTIME + REWRITE_TIME + CONTACT_TIME);
             self.stores[node].set(LinkState::Reset);
         }
-        self.after(DRILL_SPAN, Later::Restore(copy));
-        self.after(DRILL_SPAN, Later::StoreLink(None));
-        self.after(DRILL_SPAN + REWRITE_SPAN, Later::Rewrite);
+        self.after(STORE_DOWNTIME, ScheduledStep::RestoreStore(snapshot));
+        self.after(STORE_DOWNTIME, ScheduledStep::StoreLink(None));
+        self.after(STORE_DOWNTIME + REWRITE_TIME, ScheduledStep::Rewrite);
     }
 
-    /// Keeps copies of the store as old as a drill may need them.
-    fn keep_copy(&mut self) {
+    /// Takes a snapshot of the store if one is due, and drops snapshots that are too old.
+    fn take_snapshot(&mut self) {
         let now = Instant::now();
-        let is_due = |(at, _): &(Instant, MetaSnapshot)| now.duration_since(*at) >= COPY_PAUSE;
-        if self.copies.last().is_none_or(is_due) {
-            self.copies
-                .retain(|(at, _)| now.duration_since(*at) <= COPY_SPAN);
-            self.copies.push((now, self.site.store.snapshot()));
+        let is_due =
+            |(at, _): &(Instant, MetaSnapshot)| now.duration_since(*at) >= SNAPSHOT_INTERVAL;
+        if self.snapshots.last().is_none_or(is_due) {
+            self.snapshots
+                .retain(|(at, _)| now.duration_since(*at) <= SNAPSHOT_MAX_AGE);
+            self.snapshots.push((now, self.site.store.snapshot()));
         }
     }
 
@@ -363,10 +364,10 @@
         self.version += 3;
         self.config["version"] = Value::from(self.version);
         self.site.store.put("config", "main", self.config.clone());
-        self.after(IN_FORCE, Later::InForce(self.version));
+        self.after(PROPAGATION_TIME, ScheduledStep::CheckVersion(self.version));
     }
 
-    /// Adds routes that no client asks for.
+    /// Adds routes that no client calls.
     fn add_routes(&mut self) {
         let Some(routes) = self.config["routes"].as_array_mut() else {
             return;
@@ -381,73 +382,75 @@
     }
 
     fn kill(&mut self, node: usize) {
-        self.harm(node, RESTART_PAUSE + CONTACT_SPAN);
-        self.interrupt(node, RESTART_PAUSE);
+        self.record_disturbance(node, RESTART_DELAY + CONTACT_TIME);
+        self.record_interruption(node, RESTART_DELAY);
         self.nodes[node].signal(Signal::KILL);
     }
 
-    /// Does what is due.
-    fn do_due(&mut self) {
+    /// Runs the scheduled steps that are due.
+    fn run_due_steps(&mut self) {
         let now = Instant::now();
-        let (due, later) = std::mem::take(&mut self.later)
+        let (due, scheduled) = std::mem::take(&mut self.scheduled)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.later = later;
+        self.scheduled = scheduled;
         for (_, step) in due {
-            self.do_later(step);
+            self.run_step(step);
         }
     }
 
-    fn do_later(&mut self, step: Later) {
+    fn run_step(&mut self, step: ScheduledStep) {
         match step {
-            Later::Start(node) => self.nodes[node].start(),
-            Later::Wake(node) => self.nodes[node].signal(Signal::CONT),
-            Later::StoreLink(node) => {
+            ScheduledStep::Start(node) => self.nodes[node].start(),
+            ScheduledStep::Resume(node) => self.nodes[node].signal(Signal::CONT),
+            ScheduledStep::StoreLink(node) => {
                 for node in node.map_or(0..node_count(), |node| node..node + 1) {
                     self.stores[node].set(LinkState::Open);
                 }
             }
-            Later::ClientLink(node) => self.room.links[node].set(LinkState::Open),
-            Later::Return(target) => self.site.targets[target].publish("ready"),
-            Later::Reborn(target) => {
+            ScheduledStep::ClientLink(node) => self.context.links[node].set(LinkState::Open),
+            ScheduledStep::Relist(target) => self.site.targets[target].publish("ready"),
+            ScheduledStep::Restart(target) => {
                 let target = &self.site.targets[target];
                 target.announce_leaving(false);
                 target.restart();
-                self.reborn.push((target.id().to_owned(), Instant::now()));
+                self.restarts.push((target.id().to_owned(), Instant::now()));
             }
-            Later::Unlimited(limit) => self.limits[limit].target.announce_limit(None),
-            Later::Restore(copy) => {
-                self.site.store.restore(*copy);
-                // What was copied before is of another history.
-                self.copies.clear();
+            ScheduledStep::EndLimit(limit) => self.limits[limit].target.announce_limit(None),
+            ScheduledStep::RestoreStore(snapshot) => {
+                self.site.store.restore(*snapshot);
+                // Earlier snapshots belong to the discarded history.
+                self.snapshots.clear();
             }
-            Later::Rewrite => {
+            ScheduledStep::Rewrite => {
                 self.site.store.put("config", "main", self.config.clone());
                 for target in &self.site.targets {
                     target.republish();
                 }
-                self.after(IN_FORCE, Later::InForce(self.version));
+                self.after(PROPAGATION_TIME, ScheduledStep::CheckVersion(self.version));
             }
-            Later::Left(target, before) => self.check_left(target, before),
-            Later::InForce(version) => self.check_version(version),
+            ScheduledStep::CheckLeft(target, before) => self.check_left(target, before),
+            ScheduledStep::CheckVersion(version) => self.check_version(version),
         }
     }
 
-    /// Tells whether a node has been free of faults for long enough to be held to time bounds.
-    fn is_calm(&self, node: usize) -> bool {
+    /// Returns whether a node has been free of faults for long enough to check time bounds.
+    fn is_undisturbed(&self, node: usize) -> bool {
         let now = Instant::now();
-        let is_harmed = |harm: &NodeSpan| harm.node == node && harm.begin <= now && now <= harm.end;
+        let is_disturbed = |disturbance: &NodeInterval| {
+            disturbance.node == node && disturbance.begin <= now && now <= disturbance.end
+        };
         let is_stopping = self.stopping.contains_key(&node);
-        self.nodes[node].is_running() && !is_stopping && !self.harms.iter().any(is_harmed)
+        self.nodes[node].is_running() && !is_stopping && !self.disturbances.iter().any(is_disturbed)
     }
 
-    /// Checks that a target that leaves got nothing in the last moments, where all nodes are calm.
+    /// Checks that a leaving target receives no calls, provided that no node is disturbed.
     fn check_left(&mut self, target: usize, before: usize) {
-        if !(0..node_count()).all(|node| self.is_calm(node)) {
+        if !(0..node_count()).all(|node| self.is_undisturbed(node)) {
             return;
         }
         let id = self.site.targets[target].id().to_owned();
-        // What is new in the journal came since the target left; the last part of that is too late.
+        // Only calls that arrive during the next 300 ms count: earlier ones were within the time bound.
         let seen = self.site.journal.runs().len();
         std::thread::sleep(Duration::from_millis(300));
         let runs = self.site.journal.runs();
@@ -455,46 +458,46 @@
             .iter()
             .find(|run| run.target == id && !matches!(run.kind, RunKind::Release(_)));
         if let Some(run) = late {
-            self.broken
-                .push(format!("a target that left got a call: {run:?}"));
+            self.violations
+                .push(format!("a target that left received a call: {run:?}"));
         }
     }
 
     fn check_version(&mut self, version: u64) {
         for node in 0..node_count() {
-            if !self.is_calm(node) {
+            if !self.is_undisturbed(node) {
                 continue;
             }
-            let told = self.read_version(node);
-            if told == Some(0) && self.nodes[node].age() < START_SPAN {
-                // It serves nobody yet; what it serves from soon is looked at then.
-                self.after(START_SPAN, Later::InForce(version));
+            let reported = self.read_version(node);
+            if reported == Some(0) && self.nodes[node].age() < START_TIME {
+                // The process has just started and serves no requests yet; checked again later.
+                self.after(START_TIME, ScheduledStep::CheckVersion(version));
                 continue;
             }
-            if told.is_some_and(|told| told < version) && self.is_calm(node) {
+            if reported.is_some_and(|reported| reported < version) && self.is_undisturbed(node) {
                 let name = &self.nodes[node].name;
-                let line = format!("{name} is at configuration {told:?}, {version} was written");
-                self.broken.push(line);
+                let line = format!("{name} has configuration {reported:?}, {version} was written");
+                self.violations.push(line);
             }
         }
     }
 
     fn read_version(&self, node: usize) -> Option<u64> {
-        let text = self.ask(self.nodes[node].metrics(), "/metrics")?.1;
+        let text = self.get(self.nodes[node].metrics(), "/metrics")?.1;
         let line = text
             .lines()
             .find_map(|line| line.strip_prefix("turnford_config_version "))?;
         line.parse().ok()
     }
 
-    fn ask(&self, to: std::net::SocketAddr, path: &str) -> Option<(u16, String)> {
+    fn get(&self, to: std::net::SocketAddr, path: &str) -> Option<(u16, String)> {
         let request = HttpClient::request(Method::GET, to, path).ok()?;
-        let answer = async_io::block_on(self.client.send(to, request, ASK_LIMIT)).ok()?;
+        let answer = async_io::block_on(self.client.send(to, request, ASK_TIMEOUT)).ok()?;
         Some((answer.status, String::from_utf8(answer.body).ok()?))
     }
 
-    /// Takes processes that ended, and has them started again.
-    fn watch_ends(&mut self) {
+    /// Checks how exited processes ended, and schedules their restart.
+    fn restart_exited(&mut self) {
         for node in 0..node_count() {
             let Some(status) = self.nodes[node].ended() else {
                 continue;
@@ -503,89 +506,91 @@
             let was_killed = std::os::unix::process::ExitStatusExt::signal(&status) == Some(9);
             match self.stopping.remove(&node) {
                 Some(begin) => {
-                    self.stops.push(NodeSpan {
+                    self.stops.push(NodeInterval {
                         node,
                         begin,
                         end: now,
                     });
                     let took = now.saturating_duration_since(begin);
-                    let is_late = took > Duration::from_secs(GRACE_S);
-                    let is_harmed = self
-                        .harms
+                    let is_late = took > Duration::from_secs(GRACE_PERIOD_S);
+                    let is_disturbed = self
+                        .disturbances
                         .iter()
-                        .any(|harm| harm.node == node && harm.end >= begin);
-                    if is_late && !is_harmed {
+                        .any(|disturbance| disturbance.node == node && disturbance.end >= begin);
+                    if is_late && !is_disturbed {
                         let name = &self.nodes[node].name;
-                        self.broken.push(format!("{name} took {took:?} to stop"));
+                        self.violations
+                            .push(format!("{name} took {took:?} to stop"));
                     }
                 }
                 None if was_killed => {}
                 None => {
                     let name = &self.nodes[node].name;
-                    self.broken
-                        .push(format!("{name} ended by itself: {status}"));
+                    self.violations
+                        .push(format!("{name} exited unexpectedly: {status}"));
                 }
             }
-            self.after(RESTART_PAUSE, Later::Start(node));
+            self.after(RESTART_DELAY, ScheduledStep::Start(node));
         }
     }
 
-    /// Asks nodes whether they are ready, as the platform does, and which configuration they have.
-    fn ask_nodes(&mut self) {
+    /// Probes the readiness of nodes, as the platform does, and reads their configuration versions.
+    fn poll_nodes(&mut self) {
         for node in 0..node_count() {
-            let answer = self.ask(self.nodes[node].ready(), "/v1/readiness");
+            let answer = self.get(self.nodes[node].ready(), "/v1/readiness");
             let is_ready = answer.is_some_and(|(status, _)| status == 200);
-            self.room.ready[node].store(is_ready, Ordering::SeqCst);
+            self.context.ready[node].store(is_ready, Ordering::SeqCst);
             let Some(version) = self.read_version(node) else {
                 continue;
             };
             let start = self.nodes[node].starts();
-            let told = self.told.insert(node, (start, version));
-            if told.is_some_and(|(before, old)| before == start && old > version) {
+            let reported = self.reported.insert(node, (start, version));
+            if reported.is_some_and(|(before, old)| before == start && old > version) {
                 let name = &self.nodes[node].name;
-                self.broken
-                    .push(format!("{name} went back to configuration {version}"));
+                self.violations
+                    .push(format!("{name} reverted to configuration {version}"));
             }
         }
     }
 
-    /// Ends the clients and checks what they saw.
-    fn finish(&mut self, settled: Instant, forgets: bool) {
-        self.room.is_over.store(true, Ordering::SeqCst);
+    /// Stops the clients and runs the checks on their records.
+    fn finish(&mut self, recovered_by: Instant, kills_all: bool) {
+        self.context.is_over.store(true, Ordering::SeqCst);
         std::thread::sleep(Duration::from_secs(2));
         self.check_version(self.version);
-        let records = self.room.ended();
-        let interrupts: Vec<NodeSpan> = [&self.interrupts[..], &self.stops[..]].concat();
+        let records = self.context.ended();
+        let interruptions: Vec<NodeInterval> = [&self.interruptions[..], &self.stops[..]].concat();
         let last = last_targets(&self.site.targets);
         for target in &self.site.targets {
-            let left = check_leaving(target, &last, &records, &self.reborn, &interrupts);
-            self.broken.extend(left);
-            let rests = check_rests(target, &records, &interrupts);
-            self.broken.extend(rests);
+            let left = check_leaving(target, &last, &records, &self.restarts, &interruptions);
+            self.violations.extend(left);
+            let rests = check_rests(target, &records, &interruptions);
+            self.violations.extend(rests);
         }
         let limits = self.limits.iter();
         let passed =
-            limits.filter_map(|limit| check_limit(limit, &self.limits, &records, &interrupts));
-        self.broken.extend(passed);
-        if !forgets {
-            let crashing = check_crashing(&self.room.crashing(), &self.site.journal.runs());
-            self.broken.extend(crashing);
+            limits.filter_map(|limit| check_limit(limit, &self.limits, &records, &interruptions));
+        self.violations.extend(passed);
+        if !kills_all {
+            let crashing = check_crashing(&self.context.crashing(), &self.site.journal.runs());
+            self.violations.extend(crashing);
         }
-        // A request that is still under way has no record, and may run.
+        // A request that is still in progress has no record yet, and may have run.
         let runs = self.site.journal.runs();
         let known = runs
             .into_iter()
             .filter(|run| records.contains_key(&run.attempt));
         let runs: Vec<_> = known.collect();
-        self.broken.extend(check_calls(&records, &runs));
-        let stops = check_stops(&records, &runs, &self.stops, &self.harms);
-        self.broken.extend(stops);
-        self.broken.extend(check_recovery(&records, settled));
+        self.violations.extend(check_calls(&records, &runs));
+        let stops = check_stops(&records, &runs, &self.stops, &self.disturbances);
+        self.violations.extend(stops);
+        self.violations
+            .extend(check_recovery(&records, recovered_by));
         let served = records
             .values()
-            .filter(|record| matches!(record.end, crate::client::CallEnd::Answer(200, ..)));
+            .filter(|record| matches!(record.end, crate::client::CallResult::Response(200, ..)));
         println!("{} requests, {} served", records.len(), served.count());
-        // The executor's threads end with it.
+        // Keeps the executor in use until the end of the run.
         let _ = &self.executor;
     }
 }
--- a/packages/turnford/tests/soak/word.rs
+++ b/packages/turnford/tests/soak/word.rs
@@ -1,4 +1,4 @@
-//! What targets say in their answers, checked for each node that heard it.
+//! Checks that nodes act on what targets announce in their responses.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,36 +10,36 @@
 use turnford_standin::LIMIT_GRACE;
 use turnford_standin::LIMIT_WINDOW;
 
-use crate::check::NodeSpan;
+use crate::check::NodeInterval;
 use crate::client::CallRecord;
 
-/// Time after a node has passed on the word that a target leaves from which it sends it nothing, from the
-/// users' bounds.
-const LEFT_SPAN: Duration = Duration::from_secs(2);
+/// Time after a node forwarded a target's announcement that it is leaving after which the node must not
+/// send requests to that target; specified by the users.
+const LEAVING_PROPAGATION_TIME: Duration = Duration::from_secs(2);
 
-/// Requests that a target that rests may get from a node all the same.
+/// Requests that a node may still send to a target in a back-off period.
 const CROSSING_LIMIT: usize = 2;
 
-/// Time for which a fault of a node excuses it, from the users' bounds.
-const EXCUSE_SPAN: Duration = Duration::from_secs(3);
+/// Time after a fault of a node during which it is exempt from the checks; specified by the users.
+const EXCUSE_PERIOD: Duration = Duration::from_secs(3);
 
-/// A limit that a target names.
+/// A rate limit that a target announces, with the time in which it announces it.
 #[derive(Clone)]
-pub(crate) struct LimitSpan {
+pub(crate) struct LimitInterval {
     pub(crate) target: RouteTarget,
-    /// Calls a second.
+    /// Calls per second.
     pub(crate) rate: f64,
     pub(crate) begin: Instant,
     pub(crate) end: Instant,
 }
 
-/// Tells whether a node was restarted or stood still between two moments.
-fn is_interrupted(interrupts: &[NodeSpan], node: usize, from: Instant, to: Instant) -> bool {
-    let mut own = interrupts.iter().filter(|span| span.node == node);
+/// Returns whether a node was restarted or suspended between two instants.
+fn is_interrupted(interruptions: &[NodeInterval], node: usize, from: Instant, to: Instant) -> bool {
+    let mut own = interruptions.iter().filter(|span| span.node == node);
     own.any(|span| span.begin <= to && span.end >= from)
 }
 
-/// Returns the target that each request reached last: the answer that its client got is of that one.
+/// Returns for each request the target that it reached last, which sent the client's response.
 pub(crate) fn last_targets(targets: &[RouteTarget]) -> HashMap<String, String> {
     let mut last: HashMap<String, (Instant, String)> = HashMap::new();
     for target in targets {
@@ -54,54 +54,58 @@
     pairs.map(|(attempt, (_, id))| (attempt, id)).collect()
 }
 
-/// Returns requests that reached a target from a node long after that had passed on its word that it
-/// leaves. A node that was interrupted since, or a target that started again, is excused.
+/// Returns a violation for each request that a node sent to a target more than
+/// [`LEAVING_PROPAGATION_TIME`] after the node forwarded the target's announcement that it is leaving.
+/// Exempt are nodes that were interrupted in between, and targets that restarted.
 pub(crate) fn check_leaving(
     target: &RouteTarget,
     last: &HashMap<String, String>,
     records: &HashMap<String, CallRecord>,
-    reborn: &[(String, Instant)],
-    interrupts: &[NodeSpan],
+    restarts: &[(String, Instant)],
+    interruptions: &[NodeInterval],
 ) -> Vec<String> {
     let arrivals = target.arrivals();
     let came = arrivals.iter();
     let came = came.filter_map(|call| Some((records.get(&call.attempt)?, call.at)));
     let came: Vec<(&CallRecord, Instant)> = came.collect();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let is_word = |record: &CallRecord| {
         let is_last = last
             .get(&record.attempt)
             .is_some_and(|id| id == target.id());
-        record.says_leaving && is_last
+        record.announced_leaving && is_last
     };
-    for (told, _) in came.iter().filter(|(record, _)| is_word(record)) {
-        let starts = reborn.iter().filter(|(id, _)| id == target.id());
-        let starts = starts.map(|(_, at)| *at).filter(|at| *at >= told.ended);
+    for (reported, _) in came.iter().filter(|(record, _)| is_word(record)) {
+        let starts = restarts.iter().filter(|(id, _)| id == target.id());
+        let starts = starts.map(|(_, at)| *at).filter(|at| *at >= reported.ended);
         let end = starts.min();
         let late = came.iter().find(|(record, at)| {
-            let is_late = record.node == told.node && record.sent > told.ended + LEFT_SPAN;
+            let is_late = record.node == reported.node
+                && record.sent > reported.ended + LEAVING_PROPAGATION_TIME;
             let is_before = end.is_none_or(|end| *at < end);
-            let is_excused = is_interrupted(interrupts, told.node, told.ended, record.sent);
+            let is_excused =
+                is_interrupted(interruptions, reported.node, reported.ended, record.sent);
             is_late && is_before && !is_excused
         });
         if let Some((record, _)) = late {
             let id = target.id();
-            broken.push(format!(
-                "{id} said that it leaves: {told:?}, and got {record:?}"
+            violations.push(format!(
+                "{id} announced that it is leaving: {reported:?}, and received {record:?}"
             ));
         }
     }
-    broken
+    violations
 }
 
-/// Returns a line if a node sent more requests to a target than may cross its word, while it rested.
+/// Returns a violation if a node sent a target in a back-off period more requests than may cross the
+/// target's announcement.
 pub(crate) fn check_rests(
     target: &RouteTarget,
     records: &HashMap<String, CallRecord>,
-    interrupts: &[NodeSpan],
+    interruptions: &[NodeInterval],
 ) -> Option<String> {
     let mut counts: HashMap<(usize, Instant), usize> = HashMap::new();
-    let mut told: HashMap<usize, (Instant, Instant)> = HashMap::new();
+    let mut reported: HashMap<usize, (Instant, Instant)> = HashMap::new();
     for call in target.arrivals() {
         let Some(record) = records.get(&call.attempt) else {
             continue;
@@ -109,13 +113,13 @@
         let Some(until) = call.backoff_until else {
             continue;
         };
-        let (first, rest) = *told.entry(record.node).or_insert((call.at, until));
+        let (first, rest) = *reported.entry(record.node).or_insert((call.at, until));
         if rest != until {
-            told.insert(record.node, (call.at, until));
+            reported.insert(record.node, (call.at, until));
             continue;
         }
         let is_crossing = call.at <= first + turnford_standin::BACKOFF_GRACE;
-        if !is_crossing && !is_interrupted(interrupts, record.node, first, call.at) {
+        if !is_crossing && !is_interrupted(interruptions, record.node, first, call.at) {
             *counts.entry((record.node, until)).or_default() += 1;
         }
     }
@@ -123,28 +127,29 @@
     let ((node, _), count) = most.filter(|(_, count)| *count > CROSSING_LIMIT)?;
     let id = target.id();
     Some(format!(
-        "node {node} sent {count} requests to {id}, which had asked it for rest"
+        "node {node} sent {count} requests to {id}, which had requested back-off"
     ))
 }
 
-/// Returns a line if nodes together sent a target more than the limit that it named allows. What nodes send
-/// that were interrupted lately doesn't count; calls that tell no node count where none was.
+/// Returns a violation if the nodes together sent a target more calls than its announced limit allows.
+/// Calls of recently interrupted nodes don't count; calls that can't be attributed to a node count only
+/// if no node was interrupted.
 pub(crate) fn check_limit(
-    limit: &LimitSpan,
-    all: &[LimitSpan],
+    limit: &LimitInterval,
+    all: &[LimitInterval],
     records: &HashMap<String, CallRecord>,
-    interrupts: &[NodeSpan],
+    interruptions: &[NodeInterval],
 ) -> Option<String> {
     let id = limit.target.id();
-    // A later limit takes the place of this one, and the end of an earlier one ends all.
+    // A later limit replaces this one, and the end of an earlier limit removes the current one.
     let others = all.iter().filter(|other| other.target.id() == id);
     let cuts = others.flat_map(|other| [other.begin, other.end]);
     let end = cuts.filter(|at| *at > limit.begin).min()?;
     let counts = |call: &TargetArrival| {
-        let lately = call.at.checked_sub(EXCUSE_SPAN).unwrap_or(call.at);
+        let lately = call.at.checked_sub(EXCUSE_PERIOD).unwrap_or(call.at);
         match records.get(&call.attempt) {
-            Some(record) => !is_interrupted(interrupts, record.node, lately, call.at),
-            None => !interrupts
+            Some(record) => !is_interrupted(interruptions, record.node, lately, call.at),
+            None => !interruptions
                 .iter()
                 .any(|span| span.begin <= call.at && span.end >= lately),
         }
@@ -155,13 +160,15 @@
         .filter(|at| *at >= limit.begin + LIMIT_GRACE && *at < end)
         .collect();
     let windows = calls.iter().enumerate().map(|(first, begin)| {
-        let later = calls[first..].iter();
-        later.take_while(|at| **at < *begin + LIMIT_WINDOW).count()
+        let following = calls[first..].iter();
+        following
+            .take_while(|at| **at < *begin + LIMIT_WINDOW)
+            .count()
     });
     let worst = windows.max().unwrap_or(0);
     let allowed = limit_allowance(limit.rate);
     (worst > allowed).then(|| {
         let rate = limit.rate;
-        format!("{id} named a limit of {rate} a second and got {worst} of {allowed} in 4 s")
+        format!("{id} announced a limit of {rate} per second and received {worst} of {allowed} calls in 4 s")
     })
 }
