--- a/packages/turnford/examples/overhead.rs
+++ b/packages/turnford/examples/overhead.rs
@@ -1,7 +1,7 @@
-//! Measures what a node adds to each stage, and what one node carries.
+//! Measures the latency that a node adds to each stage, and the throughput of one node.
 //!
-//! `cargo run --release -p turnford --example overhead` calls a stand-in directly and through a node
-//! side by side in one run: the stand-in's own time is 2 ms, and the pairs alternate.
+//! `cargo run --release -p turnford --example overhead` alternates between direct calls of a stand-in
+//! and calls through a node in one run; the stand-in itself takes 2 ms per call.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -21,10 +21,10 @@
 
 const STAGES: usize = 4;
 const PAIRS: usize = 2_000;
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const CALLERS: usize = 64;
 const CLAIMERS: usize = 400;
-const SPAN: Duration = Duration::from_secs(5);
+const DURATION: Duration = Duration::from_secs(5);
 
 fn scenario(base_ms: f64) -> Scenario {
     let services = ["a", "b", "c", "d"].map(|name| {
@@ -63,7 +63,7 @@
         .collect()
 }
 
-/// Posts to a pipeline and returns the time until its whole answer.
+/// Posts to a pipeline and returns the time until the complete response.
 async fn post(
     client: &HttpClient,
     node: SocketAddr,
@@ -78,9 +78,9 @@
         request.insert_header("turnford-request-id", id);
     }
     request.set_body("mark:bench hello");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let answer = client
-        .send(node, request, LIMIT)
+        .send(node, request, TIMEOUT)
         .await
         .expect("the node answers");
     assert_eq!(
@@ -89,15 +89,15 @@
         "{}",
         String::from_utf8_lossy(&answer.body)
     );
-    begun.elapsed()
+    started_at.elapsed()
 }
 
-async fn through_node(client: &HttpClient, node: SocketAddr) -> Duration {
+async fn send_through_node(client: &HttpClient, node: SocketAddr) -> Duration {
     post(client, node, "four", None).await
 }
 
-async fn direct(client: &HttpClient, targets: &[SocketAddr]) -> Duration {
-    let begun = Instant::now();
+async fn send_direct(client: &HttpClient, targets: &[SocketAddr]) -> Duration {
+    let started_at = Instant::now();
     for target in targets {
         let request = HttpClient::request(Method::POST, *target, "/run");
         let mut request = request.expect("the address makes a URL");
@@ -105,19 +105,19 @@
             "resume_from": 0, "stream": false });
         request.set_body(body.to_string());
         let answer = client
-            .send(*target, request, LIMIT)
+            .send(*target, request, TIMEOUT)
             .await
             .expect("the target answers");
         assert_eq!(answer.status, 200);
     }
-    begun.elapsed()
+    started_at.elapsed()
 }
 
 fn quantile(sorted: &[f64], part: f64) -> f64 {
     sorted[((sorted.len() - 1) as f64 * part) as usize]
 }
 
-/// Alternates direct chains and requests through the node; prints the difference a stage.
+/// Alternates direct call chains and requests through the node; prints the difference per stage.
 async fn measure_added(site: &LocalSite, load: &str) {
     let client = HttpClient::new();
     let node = site.addresses()[0];
@@ -133,15 +133,15 @@
         .iter()
         .map(|name| first_of(name))
         .collect();
-    let (mut straight, mut through) = (Vec::new(), Vec::new());
+    let (mut direct_ms, mut node_ms) = (Vec::new(), Vec::new());
     for _ in 0..PAIRS {
-        straight.push(direct(&client, &targets).await.as_secs_f64() * 1000.0 / STAGES as f64);
-        through.push(through_node(&client, node).await.as_secs_f64() * 1000.0 / STAGES as f64);
+        direct_ms.push(send_direct(&client, &targets).await.as_secs_f64() * 1000.0 / STAGES as f64);
+        node_ms.push(send_through_node(&client, node).await.as_secs_f64() * 1000.0 / STAGES as f64);
     }
-    straight.sort_by(f64::total_cmp);
-    through.sort_by(f64::total_cmp);
+    direct_ms.sort_by(f64::total_cmp);
+    node_ms.sort_by(f64::total_cmp);
     for part in [0.5, 0.99] {
-        let (left, right) = (quantile(&straight, part), quantile(&through, part));
+        let (left, right) = (quantile(&direct_ms, part), quantile(&node_ms, part));
         println!(
             "{load}: a stage at {part}: direct {left:.3} ms, through the node {right:.3} ms, \
              added {:.3} ms",
@@ -150,19 +150,19 @@
     }
 }
 
-/// Loads the node with callers that each wait for their answer; returns requests a second.
+/// Loads the node with a closed loop of callers; returns the rate in requests per second.
 async fn measure_rate(site: &LocalSite, callers: usize, span: Duration) -> f64 {
     let executor = start_threads("callers", 2);
     let client = Arc::new(HttpClient::new());
     let count = Arc::new(AtomicU64::new(0));
     let node = site.addresses()[0];
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let tasks: Vec<_> = (0..callers)
         .map(|_| {
             let (client, count) = (client.clone(), count.clone());
             executor.spawn(async move {
-                while begun.elapsed() < span {
-                    through_node(&client, node).await;
+                while started_at.elapsed() < span {
+                    send_through_node(&client, node).await;
                     count.fetch_add(1, Ordering::Relaxed);
                 }
             })
@@ -171,14 +171,14 @@
     for task in tasks {
         task.await;
     }
-    count.load(Ordering::Relaxed) as f64 / begun.elapsed().as_secs_f64()
+    count.load(Ordering::Relaxed) as f64 / started_at.elapsed().as_secs_f64()
 }
 
-/// Returns the node's writes to the platform so far.
-async fn writes(client: &HttpClient, node: SocketAddr) -> f64 {
+/// Returns the number of writes that the node has made to the platform.
+async fn read_write_count(client: &HttpClient, node: SocketAddr) -> f64 {
     let request = HttpClient::request(Method::GET, node, "/metrics").expect("a URL");
     let answer = client
-        .send(node, request, LIMIT)
+        .send(node, request, TIMEOUT)
         .await
         .expect("the node answers");
     let text = String::from_utf8_lossy(&answer.body).into_owned();
@@ -191,12 +191,12 @@
     value.expect("the metric is there")
 }
 
-/// Makes one once-only call, with an id or without.
+/// Sends a request with a non-repeatable stage, with or without a request id.
 async fn call_once(client: &HttpClient, node: SocketAddr, id: Option<String>) -> Duration {
     post(client, node, "once", id).await
 }
 
-/// Measures claims a second against writes a second, and the time that a claim adds.
+/// Measures the latency that a claim adds, and the rates of claimed requests and platform writes.
 async fn measure_claims(site: &LocalSite) {
     let client = Arc::new(HttpClient::new());
     let node = site.addresses()[0];
@@ -215,14 +215,14 @@
     );
     let executor = start_threads("claimers", 2);
     let count = Arc::new(AtomicU64::new(0));
-    let before = writes(&client, node).await;
-    let begun = Instant::now();
+    let before = read_write_count(&client, node).await;
+    let started_at = Instant::now();
     let tasks: Vec<_> = (0..CLAIMERS)
         .map(|caller| {
             let (client, count) = (client.clone(), count.clone());
             executor.spawn(async move {
                 let mut number = 0;
-                while begun.elapsed() < SPAN {
+                while started_at.elapsed() < DURATION {
                     number += 1;
                     call_once(&client, node, Some(format!("{caller}-{number}"))).await;
                     count.fetch_add(1, Ordering::Relaxed);
@@ -233,8 +233,8 @@
     for task in tasks {
         task.await;
     }
-    let seconds = begun.elapsed().as_secs_f64();
-    let written = writes(&client, node).await - before;
+    let seconds = started_at.elapsed().as_secs_f64();
+    let written = read_write_count(&client, node).await - before;
     println!(
         "{CLAIMERS} callers: {:.0} claimed requests/s with {:.1} writes/s",
         count.load(Ordering::Relaxed) as f64 / seconds,
@@ -248,12 +248,12 @@
     async_io::block_on(async {
         let site = LocalSite::start(&scenario(2.0), &files(), 1, &options, &executor).await;
         let site = site.expect("the site starts");
-        through_node(&HttpClient::new(), site.addresses()[0]).await;
+        send_through_node(&HttpClient::new(), site.addresses()[0]).await;
         measure_added(&site, "alone").await;
         let fast = LocalSite::start(&scenario(0.0), &files(), 1, &options, &executor).await;
         let fast = fast.expect("the site starts");
         measure_claims(&fast).await;
-        let rate = measure_rate(&fast, CALLERS, SPAN).await;
+        let rate = measure_rate(&fast, CALLERS, DURATION).await;
         println!(
             "one node, two traffic threads, {CALLERS} callers: {rate:.0} requests/s of 4 stages"
         );
--- a/packages/turnford/tests/bad_input.rs
+++ b/packages/turnford/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad arguments and bad bytes give a clear error and bring nothing down.
+//! Invalid arguments give an error, and malformed requests don't stop a node.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use common::Extras;
+use common::RequestExtras;
 use common::TestSite;
 use turnford::run_program;
 use turnford::ExitStatus;
@@ -36,7 +36,7 @@
 
 #[test]
 fn nothing_applied() {
-    // One bad file among good ones: nothing is written, so no connection is even tried.
+    // All files are checked before the first write, so an invalid file prevents any connection.
     let folder = std::env::temp_dir().join(format!("turnford-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder for the files");
     let (good, bad) = (folder.join("good.toml"), folder.join("bad.toml"));
@@ -67,12 +67,12 @@
             .set_read_timeout(Some(Duration::from_millis(300)))
             .expect("a time limit");
         stream.write_all(call).expect("the bytes are sent");
-        // An answer, an end or silence, but never the node's.
+        // The node may answer, close or not respond, but must not exit.
         let mut answer = [0; 512];
         let _ = stream.read(&mut answer);
     }
     let text = "mark:after hello";
-    let answer = async_io::block_on(site.post(0, "chat", text, Extras::default()));
+    let answer = async_io::block_on(site.post(0, "chat", text, RequestExtras::default()));
     assert_eq!(answer.code(), 0);
     site.stop();
 }
--- a/packages/turnford/tests/claimed_once.rs
+++ b/packages/turnford/tests/claimed_once.rs
@@ -1,19 +1,19 @@
-//! A request with an id runs its once-only stage at most once.
+//! A request with an id runs a non-repeatable stage at most once.
 
 mod common;
 
 use std::time::Duration;
 
 use common::wait_until;
-use common::Extras;
+use common::RequestExtras;
 use common::TestSite;
 use futures_lite::future::zip;
 use turnford_standin::FaultKind;
 
-fn with_id(id: &str) -> Extras<'_> {
-    Extras {
+fn with_id(id: &str) -> RequestExtras<'_> {
+    RequestExtras {
         id: Some(id),
-        ..Extras::default()
+        ..RequestExtras::default()
     }
 }
 
@@ -22,7 +22,7 @@
     let site = TestSite::start(2);
     let first = async_io::block_on(site.post(0, "reserve", "mark:s hold", with_id("a")));
     assert_eq!((first.code(), first.ran()), (0, "yes"));
-    // The note of the end is written in a group a little later; until then the id is running.
+    // The end of the claim is written with the next batch; until then the id counts as running.
     let mut codes = Vec::new();
     async_io::block_on(async {
         while codes.last() != Some(&2) {
@@ -37,12 +37,12 @@
                 assert_eq!(again.body["output"], first.body["output"]);
             }
         }
-        // Another node knows that it ran, but does not have the answer.
+        // Another node reads from the claim that the request ran, but has no copy of the answer.
         let other = site.post(1, "reserve", "mark:s hold", with_id("a")).await;
         assert_eq!((other.code(), other.ran()), (132, "yes"));
     });
     assert_eq!(site.runs("booking", "mark:s").len(), 1);
-    // The id of another account is another id.
+    // Request ids are scoped to the account.
     let path = "/v1/pipelines/reserve";
     let two = site.post_as(1, path, "key-two", "mark:t hold", with_id("a"));
     let two = async_io::block_on(two).expect("the node answers");
@@ -85,15 +85,16 @@
         site.runs("post", "mark:away").is_empty(),
         "a stage ran before the claim"
     );
-    // What needs no claim goes on.
-    let chat = async_io::block_on(site.post(0, "chat", "mark:chat hello", Extras::default()));
+    // Requests without a claim are still served.
+    let chat =
+        async_io::block_on(site.post(0, "chat", "mark:chat hello", RequestExtras::default()));
     assert_eq!(chat.code(), 0);
     site.stop();
 }
 
 #[test]
 fn lost_answers() {
-    // Every write takes effect and none is confirmed; the claims are found by reading back.
+    // Every write takes effect, but all responses are lost; nodes find their claims by reading back.
     let site = TestSite::start(2);
     site.fault(
         FaultKind::LoseAnswers,
@@ -120,7 +121,7 @@
 
 #[test]
 fn refused_call() {
-    // The target refuses before it starts: the id is free for the caller's next try.
+    // The target rejects the call before it starts, so the stage didn't run.
     let site = TestSite::start(1);
     site.fault(FaultKind::Leave, "booking", Duration::from_secs(60), 1.0);
     let refused = async_io::block_on(site.post(0, "reserve", "mark:f hold", with_id("c")));
@@ -131,9 +132,9 @@
 
 #[test]
 fn unknown_end() {
-    // The target dies while it runs the call: nobody knows, and the id stays used.
+    // The target dies while it runs the call: the outcome is unknown, and the id stays used.
     let site = TestSite::start(1);
-    // The call takes some two seconds.
+    // The call takes about two seconds.
     site.fault(FaultKind::Slow, "booking", Duration::from_secs(60), 400.0);
     let killed = async {
         async_io::Timer::after(Duration::from_millis(1000)).await;
--- a/packages/turnford/tests/common/mod.rs
+++ b/packages/turnford/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small site for the tests: four services of two targets each, and two accounts.
+//! A small site for the tests: four services with two or four targets each, and two accounts.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -18,8 +18,8 @@
 use turnford_standin::JournalEntry;
 use turnford_standin::Scenario;
 
-/// Longest wait for anything; far more than it takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time-out of requests and awaited conditions; far more than they take.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 const SCENARIO: &str = r#"
 name = "test"
@@ -85,14 +85,14 @@
 ]
 "#;
 
-/// Its model is on no target at the start.
+/// Template whose model isn't loaded on any target at the start.
 const LETTER: &str = r#"
 name = "letter"
 deadline_ms = 10000
 stages = [{ name = "write", service = "skriver", kind = "generate", model = "norsk" }]
 "#;
 
-/// Returns an account's file; its key is `key-` and the name.
+/// Returns the text of an account's file; the account's API key is `key-` and the name.
 pub fn account_text(name: &str, rate: f64) -> String {
     let hash = turnford_config::hash_api_key(&format!("key-{name}"));
     format!(
@@ -108,7 +108,7 @@
     pub client: HttpClient,
 }
 
-/// One answer.
+/// A node's response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
@@ -125,9 +125,9 @@
     }
 }
 
-/// What a request carries beside its text.
+/// Optional headers of a request.
 #[derive(Clone, Copy, Default)]
-pub struct Extras<'a> {
+pub struct RequestExtras<'a> {
     pub id: Option<&'a str>,
     pub deadline_ms: Option<u64>,
     pub stream: bool,
@@ -167,7 +167,7 @@
         node: usize,
         template: &str,
         text: &str,
-        extras: Extras<'_>,
+        extras: RequestExtras<'_>,
     ) -> Answer {
         let path = format!("/v1/pipelines/{template}");
         self.post_as(node, &path, "key-one", text, extras)
@@ -175,14 +175,14 @@
             .expect("the node answers")
     }
 
-    /// Posts; `None` if the node closed without an answer.
+    /// Posts a request; `None` if the node closed the connection without a response.
     pub async fn post_as(
         &self,
         node: usize,
         path: &str,
         key: &str,
         text: &str,
-        extras: Extras<'_>,
+        extras: RequestExtras<'_>,
     ) -> Option<Answer> {
         let to = self.address(node);
         let mut request = HttpClient::request(Method::POST, to, path).ok()?;
@@ -194,7 +194,7 @@
             request.insert_header("turnford-deadline-ms", deadline.to_string());
         }
         request.set_body(text);
-        let answer = self.client.send(to, request, PATIENCE).await.ok()?;
+        let answer = self.client.send(to, request, TIMEOUT).await.ok()?;
         let body = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
         Some(Answer {
             status: answer.status,
@@ -202,7 +202,7 @@
         })
     }
 
-    /// Posts for a stream and returns its events, the last one included.
+    /// Posts a request for a stream and returns all its events.
     pub async fn stream(&self, node: usize, template: &str, text: &str) -> Vec<Value> {
         let to = self.address(node);
         let path = format!("/v1/pipelines/{template}");
@@ -211,7 +211,7 @@
         request.insert_header("authorization", "Bearer key-one");
         request.insert_header("accept", "text/event-stream");
         request.set_body(text);
-        let open = self.client.open(to, request, PATIENCE).await;
+        let open = self.client.open(to, request, TIMEOUT).await;
         let mut stream = open.expect("the node answers");
         let mut events = Vec::new();
         while let Ok(Some(line)) = stream.next_line().await {
@@ -226,10 +226,7 @@
     pub async fn status(&self, node: usize) -> Value {
         let to = self.address(node);
         let request = HttpClient::request(Method::GET, to, "/status");
-        let answer = self
-            .client
-            .send(to, request.expect("a URL"), PATIENCE)
-            .await;
+        let answer = self.client.send(to, request.expect("a URL"), TIMEOUT).await;
         serde_json::from_slice(&answer.expect("the node answers").body).expect("JSON")
     }
 
@@ -237,14 +234,14 @@
         self.site.standins.faults.add_now(kind, at, span, factor);
     }
 
-    /// Lets the platform go on from a copy that it makes now, after what `change` does meanwhile.
-    pub fn lose(&self, change: impl FnOnce()) {
-        let copy = self.site.standins.store.snapshot();
+    /// Takes a snapshot of the platform's store, runs `change` and restores the snapshot.
+    pub fn restore_after(&self, change: impl FnOnce()) {
+        let snapshot = self.site.standins.store.snapshot();
         change();
-        self.site.standins.store.restore(copy);
+        self.site.standins.store.restore(snapshot);
     }
 
-    /// Returns the journal's entries of one service for one mark.
+    /// Returns the journal entries of a service for a mark.
     pub fn runs(&self, service: &str, mark: &str) -> Vec<JournalEntry> {
         let mut entries = self.site.standins.journal.entries();
         entries.retain(|entry| entry.service == service && entry.mark == mark);
@@ -258,11 +255,15 @@
     }
 }
 
-/// Waits until a condition holds; how long it takes does not matter.
+/// Waits until a condition holds, without a bound on the time other than the time-out.
+///
+/// # Panics
+///
+/// Panics if the condition doesn't hold within [`TIMEOUT`].
 pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "never happened: {what}");
+        assert!(started_at.elapsed() < TIMEOUT, "never happened: {what}");
         Timer::after(Duration::from_millis(10)).await;
     }
 }
--- a/packages/turnford/tests/golden_sessions.rs
+++ b/packages/turnford/tests/golden_sessions.rs
@@ -1,16 +1,16 @@
-//! Whole sessions as callers see them.
+//! Complete responses as clients see them, compared with snapshots.
 
 mod common;
 
 use std::time::Duration;
 
-use common::Extras;
+use common::RequestExtras;
 use common::TestSite;
 use serde_json::Value;
 use turnford_standin::FaultKind;
 
-/// Replaces what differs from run to run by its kind.
-fn steady(mut value: Value) -> Value {
+/// Replaces values that differ from run to run by placeholders.
+fn redact(mut value: Value) -> Value {
     if let Some(body) = value.as_object_mut() {
         if body.contains_key("trace") {
             body.insert("trace".to_owned(), Value::from("[trace]"));
@@ -33,18 +33,19 @@
 }
 
 fn pretty(value: Value) -> String {
-    serde_json::to_string_pretty(&steady(value)).unwrap_or_default()
+    serde_json::to_string_pretty(&redact(value)).unwrap_or_default()
 }
 
 #[test]
 fn whole_request() {
     let site = TestSite::start(1);
-    let answer = async_io::block_on(site.post(0, "chat", "mark:w1 hello", Extras::default()));
+    let answer =
+        async_io::block_on(site.post(0, "chat", "mark:w1 hello", RequestExtras::default()));
     insta::assert_snapshot!(pretty(answer.body));
     let events = async_io::block_on(site.stream(0, "chat", "mark:w2 hello"));
     let lines: Vec<String> = events
         .into_iter()
-        .map(|event| steady(event).to_string())
+        .map(|event| redact(event).to_string())
         .collect();
     insta::assert_snapshot!(lines.join("\n"));
     site.stop();
@@ -55,32 +56,32 @@
     let site = TestSite::start(1);
     let long = "x".repeat(3000);
     let chat = "/v1/pipelines/chat";
-    let short = Extras {
+    let short = RequestExtras {
         deadline_ms: Some(1),
-        ..Extras::default()
+        ..RequestExtras::default()
     };
-    let zero = Extras {
+    let zero = RequestExtras {
         deadline_ms: Some(0),
-        ..Extras::default()
+        ..RequestExtras::default()
     };
     let cases = [
         (
             "/v1/pipelines/nothing",
             "key-one",
             "hello",
-            Extras::default(),
+            RequestExtras::default(),
         ),
-        (chat, "key-none", "hello", Extras::default()),
-        (chat, "key-one", long.as_str(), Extras::default()),
+        (chat, "key-none", "hello", RequestExtras::default()),
+        (chat, "key-one", long.as_str(), RequestExtras::default()),
         (chat, "key-one", "hello", zero),
         (chat, "key-one", "hello", short),
-        ("/else", "key-one", "hello", Extras::default()),
+        ("/else", "key-one", "hello", RequestExtras::default()),
     ];
     let mut lines = Vec::new();
     for (path, key, text, extras) in cases {
         let answer = async_io::block_on(site.post_as(0, path, key, text, extras));
         let answer = answer.expect("the node answers");
-        lines.push(format!("{} {}", answer.status, steady(answer.body)));
+        lines.push(format!("{} {}", answer.status, redact(answer.body)));
     }
     insta::assert_snapshot!(lines.join("\n"));
     assert!(
@@ -92,12 +93,12 @@
 
 #[test]
 fn late_answer() {
-    // The payment hold may not be repeated, so its end is waited for a little beyond the deadline.
+    // The stage isn't repeatable, so the node waits for its result for a short time after the deadline.
     let site = TestSite::start(1);
     site.fault(FaultKind::Slow, "booking", Duration::from_secs(60), 80.0);
-    let extras = Extras {
+    let extras = RequestExtras {
         deadline_ms: Some(250),
-        ..Extras::default()
+        ..RequestExtras::default()
     };
     let answer = async_io::block_on(site.post(0, "reserve", "mark:late hold", extras));
     insta::assert_snapshot!(pretty(answer.body));
@@ -106,9 +107,9 @@
 
 #[test]
 fn broken_stream() {
-    // Both engines break off in the middle, so there is nowhere to resume.
+    // Both engines fail in the middle of the stream, so it can't be resumed.
     let site = TestSite::start(1);
-    // The stream takes some seconds.
+    // The stream takes several seconds.
     site.fault(FaultKind::Slow, "sprog", Duration::from_secs(60), 60.0);
     let broken = async {
         async_io::Timer::after(Duration::from_millis(800)).await;
@@ -121,7 +122,7 @@
         (&last["code"], &last["whole"]),
         (&Value::from(202), &Value::from(false))
     );
-    // The encoding before it ran for sure.
+    // The encoding stage before it did run.
     assert_eq!(last["ran"], "yes");
     site.stop();
 }
--- a/packages/turnford/tests/live_changes.rs
+++ b/packages/turnford/tests/live_changes.rs
@@ -1,4 +1,4 @@
-//! Configuration, leaving targets and planned stops while requests run.
+//! Configuration changes, leaving targets and planned stops while requests run.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 use common::account_text;
 use common::wait_until;
-use common::Extras;
+use common::RequestExtras;
 use common::TestSite;
 use futures_lite::future::zip;
 use turnford::change_object;
@@ -20,8 +20,8 @@
 
 const KEY: &str = "config/account/one";
 
-/// Time for which calls go wrong: long enough for one on a busy machine.
-const FAULT_SPAN: Duration = Duration::from_secs(3);
+/// Duration of an injected fault; long enough for one call on a busy machine.
+const FAULT_DURATION: Duration = Duration::from_secs(3);
 
 fn change(text: Option<String>, expected: Option<u64>) -> ChangeRequest<'static> {
     ChangeRequest {
@@ -53,12 +53,12 @@
             panic!("{lowered}")
         };
         wait_version(&site, version).await;
-        // Each node's bucket holds one request at most.
+        // Each node's token bucket holds at most one request.
         for node in 0..3 {
-            site.post(node, "chat", "mark:a hello", Extras::default())
+            site.post(node, "chat", "mark:a hello", RequestExtras::default())
                 .await;
             let limited = site
-                .post(node, "chat", "mark:b hello", Extras::default())
+                .post(node, "chat", "mark:b hello", RequestExtras::default())
                 .await;
             assert_eq!((limited.code(), limited.ran()), (110, "no"));
         }
@@ -68,7 +68,7 @@
         };
         wait_version(&site, version).await;
         let unknown = site
-            .post(1, "chat", "mark:c hello", Extras::default())
+            .post(1, "chat", "mark:c hello", RequestExtras::default())
             .await;
         assert_eq!(unknown.code(), 101);
     });
@@ -108,7 +108,7 @@
 
 #[test]
 fn lost_apply() {
-    // The write takes effect, its answer is lost, and the tool finds out by its mark.
+    // The write takes effect but its response is lost; the tool finds its write id by reading back.
     let site = TestSite::start(1);
     let objects = tool_client(site.site.standins.objects);
     async_io::block_on(async {
@@ -130,7 +130,7 @@
 
 #[test]
 fn outage_keeps() {
-    // An outage begins right after a change was accepted; what is in force does not flip back.
+    // An outage right after an accepted change must not revert the configuration in force.
     let site = TestSite::start(2);
     let objects = tool_client(site.site.standins.objects);
     async_io::block_on(async {
@@ -158,7 +158,7 @@
             "version {lowest} came back after {version}"
         );
         let chat = site
-            .post(0, "chat", "mark:o hello", Extras::default())
+            .post(0, "chat", "mark:o hello", RequestExtras::default())
             .await;
         assert_eq!(chat.code(), 0);
     });
@@ -184,7 +184,7 @@
         for number in 0..20 {
             let text = format!("mark:v{number} hello");
             let answer = site
-                .post(number % 2, "chat", &text, Extras::default())
+                .post(number % 2, "chat", &text, RequestExtras::default())
                 .await;
             assert_eq!(answer.code(), 0);
             let runs = site.runs("post", &format!("mark:v{number}"));
@@ -196,7 +196,7 @@
 
 #[test]
 fn planned_stop() {
-    // Requests run while the node is asked to stop: each gets its whole answer or a true refusal.
+    // Each request during a planned stop gets its complete answer or a refusal that says "not run".
     let site = TestSite::start(1);
     site.fault(FaultKind::Slow, "sprog", Duration::from_secs(600), 10.0);
     let draining = AtomicBool::new(false);
@@ -205,7 +205,10 @@
         for number in 0..6 {
             let late = draining.load(Ordering::SeqCst);
             let text = format!("mark:p{number} hello");
-            answers.push((late, site.post(0, "chat", &text, Extras::default()).await));
+            answers.push((
+                late,
+                site.post(0, "chat", &text, RequestExtras::default()).await,
+            ));
         }
         answers
     };
@@ -227,15 +230,15 @@
 
 #[test]
 fn swapped_answers() {
-    // Answers with another attempt's id reach nobody.
+    // Truncated answers and answers with another attempt's id must not reach the client.
     let site = TestSite::start(1);
     for (kind, mark) in [
         (FaultKind::Swap, "mark:swap"),
         (FaultKind::Truncate, "mark:cut"),
     ] {
-        site.fault(kind, "booking", FAULT_SPAN, 1.0);
+        site.fault(kind, "booking", FAULT_DURATION, 1.0);
         let text = format!("{mark} hold");
-        let answer = async_io::block_on(site.post(0, "reserve", &text, Extras::default()));
+        let answer = async_io::block_on(site.post(0, "reserve", &text, RequestExtras::default()));
         assert_eq!(
             (answer.code(), answer.ran()),
             (300, "yes"),
@@ -247,22 +250,22 @@
             1,
             "a call that may have run was repeated"
         );
-        std::thread::sleep(FAULT_SPAN);
+        std::thread::sleep(FAULT_DURATION);
     }
-    // The connections are sound afterwards.
+    // The connections are usable afterwards.
     let text = "mark:y hold";
-    let answer = async_io::block_on(site.post(0, "reserve", text, Extras::default()));
+    let answer = async_io::block_on(site.post(0, "reserve", text, RequestExtras::default()));
     assert_eq!(answer.code(), 0, "{answer:?}");
     site.stop();
 }
 
 #[test]
 fn caller_gone() {
-    // A caller that goes away cancels its work at the target.
+    // If the client disconnects, its call at the target is cancelled.
     let site = TestSite::start(1);
     site.fault(FaultKind::Slow, "sprog", Duration::from_secs(600), 200.0);
     let post = async {
-        site.post(0, "chat", "mark:gone hello", Extras::default())
+        site.post(0, "chat", "mark:gone hello", RequestExtras::default())
             .await;
     };
     let leave = async {
--- a/packages/turnford/tests/ordered_models.rs
+++ b/packages/turnford/tests/ordered_models.rs
@@ -1,12 +1,12 @@
-//! Models are loaded where requests ask for them.
+//! Models that requests need are loaded onto targets.
 
 mod common;
 
 use common::wait_until;
-use common::Extras;
+use common::RequestExtras;
 use common::TestSite;
 
-/// Returns the targets of the service that have a model, as a node sees them.
+/// Returns the number of targets that have a model, according to a node's status.
 fn holders(site: &TestSite, model: &str) -> usize {
     let status = async_io::block_on(site.status(0));
     let targets = status["services"]["skriver"]["targets"]
@@ -23,12 +23,12 @@
 #[test]
 fn missing_model() {
     let site = TestSite::start(2);
-    let first = async_io::block_on(site.post(0, "letter", "mark:m hej", Extras::default()));
+    let first = async_io::block_on(site.post(0, "letter", "mark:m hej", RequestExtras::default()));
     assert_eq!((first.code(), first.ran()), (123, "no"), "{first:?}");
     assert!(first.body["retry_after_ms"].as_u64().is_some());
-    // The callers come back, and a target gets the model.
+    // Clients retry until a target has loaded the model.
     async_io::block_on(wait_until("the model is loaded", || {
-        let again = site.post(0, "letter", "mark:n hej", Extras::default());
+        let again = site.post(0, "letter", "mark:n hej", RequestExtras::default());
         async_io::block_on(again).code() == 0
     }));
     assert!(holders(&site, "norsk") >= 1);
--- a/packages/turnford/tests/store_copies.rs
+++ b/packages/turnford/tests/store_copies.rs
@@ -1,33 +1,33 @@
-//! Nodes of the own interface through a return of their platform from a copy.
+//! Nodes whose platform is restored from a snapshot.
 
 mod common;
 
 use std::time::Duration;
 
 use async_io::Timer;
-use common::Extras;
+use common::RequestExtras;
 use common::TestSite;
 
-/// Longer than a committer goes on with what it has read.
-const READ_AGAIN: Duration = Duration::from_millis(2500);
+/// Longer than a claim committer uses what it has read before it reads again.
+const COMMITTER_REREAD_TIME: Duration = Duration::from_millis(2500);
 
-fn with_id(id: &str) -> Extras<'_> {
-    Extras {
+fn with_id(id: &str) -> RequestExtras<'_> {
+    RequestExtras {
         id: Some(id),
-        ..Extras::default()
+        ..RequestExtras::default()
     }
 }
 
-/// Guards against a second run of a request id whose claim was lost with the copy.
+/// Guards against a second run of a request id whose claim is missing in the restored snapshot.
 #[test]
 fn lost_claim() {
     let site = TestSite::start(2);
-    site.lose(|| {
+    site.restore_after(|| {
         let first = async_io::block_on(site.post(0, "reserve", "mark:s hold", with_id("a")));
         assert_eq!((first.code(), first.ran()), (0, "yes"));
     });
     async_io::block_on(async {
-        for wait in [Duration::ZERO, READ_AGAIN] {
+        for wait in [Duration::ZERO, COMMITTER_REREAD_TIME] {
             Timer::after(wait).await;
             for node in 0..2 {
                 let again = site
@@ -41,12 +41,13 @@
     site.stop();
 }
 
-/// Guards against limits that nobody lends after a return: requests are served on.
+/// Guards against limits that no node lends after a restore, which would reject all requests.
 #[test]
 fn served_on() {
     let site = TestSite::start(2);
-    site.lose(|| {
-        let first = async_io::block_on(site.post(0, "chat", "mark:a hello", Extras::default()));
+    site.restore_after(|| {
+        let first =
+            async_io::block_on(site.post(0, "chat", "mark:a hello", RequestExtras::default()));
         assert_eq!(first.code(), 0);
         std::thread::sleep(Duration::from_secs(2));
     });
@@ -54,7 +55,7 @@
         for _ in 0..40 {
             for node in 0..2 {
                 let answer = site
-                    .post(node, "chat", "mark:b hello", Extras::default())
+                    .post(node, "chat", "mark:b hello", RequestExtras::default())
                     .await;
                 assert_eq!(answer.code(), 0, "{answer:?}");
             }
