--- a/packages/turnford-standin/src/fleet.rs
+++ b/packages/turnford-standin/src/fleet.rs
@@ -16,9 +16,9 @@
 use turnford_platform::VmEntry;
 use turnford_platform::VmState;
 
+use crate::control::ControlService;
 use crate::objects::ObjectService;
 use crate::target::TargetService;
-use crate::vms::ControlService;
 use crate::FaultTable;
 use crate::Journal;
 use crate::Scenario;
--- a/packages/turnford-standin/src/lib.rs
+++ b/packages/turnford-standin/src/lib.rs
@@ -5,20 +5,20 @@
 
 mod audit;
 mod balancer;
+mod control;
 mod fault;
 mod fleet;
 mod journal;
 mod load;
+mod models;
 mod objects;
 mod plot;
 mod proxy;
 mod report;
 mod route;
 mod scenario;
-mod shelf;
 mod store;
 mod target;
-mod vms;
 
 pub use audit::AuditCounts;
 pub use fault::FaultKind;
--- a/packages/turnford-standin/src/objects.rs
+++ b/packages/turnford-standin/src/objects.rs
@@ -201,5 +201,5 @@
 }
 
 fn json(list: &ObjectList) -> HttpResponse {
-    crate::vms::json_response(list)
+    crate::control::json_response(list)
 }
--- a/packages/turnford-standin/src/route.rs
+++ b/packages/turnford-standin/src/route.rs
@@ -2,13 +2,13 @@
 //!
 //! They speak what the platform speaks, so they know its names; what they do beyond that is small.
 
-mod door;
+mod listener;
 mod meta;
 mod piece;
 mod run;
+mod signals;
 mod site;
 mod target;
-mod word;
 
 pub use meta::EndpointState;
 pub use meta::MetaSnapshot;
@@ -16,14 +16,14 @@
 pub use run::RouteJournal;
 pub use run::RouteRun;
 pub use run::RunKind;
+pub use signals::limit_allowance;
+pub use signals::max_window_calls;
+pub use signals::TargetArrival;
+pub use signals::BACKOFF_GRACE;
+pub use signals::LIMIT_GRACE;
+pub use signals::LIMIT_WINDOW;
 pub use site::RouteCall;
 pub use site::RouteSite;
 pub use target::RouteTarget;
 pub use target::TargetFault;
 pub use target::TargetRole;
-pub use word::limit_allowance;
-pub use word::max_window_calls;
-pub use word::TargetArrival;
-pub use word::BACKOFF_GRACE;
-pub use word::LIMIT_GRACE;
-pub use word::LIMIT_WINDOW;
--- a/packages/turnford-standin/src/route/target.rs
+++ b/packages/turnford-standin/src/route/target.rs
@@ -22,14 +22,14 @@
 use turnford_http::HttpBody;
 use turnford_http::HttpResponse;
 
-use super::door::TargetDoor;
+use super::listener::TargetDoor;
 use super::meta::json_answer;
 use super::meta::MetaStore;
 use super::run::RouteJournal;
 use super::run::RouteRun;
 use super::run::RunKind;
-use super::word::TargetArrival;
-use super::word::TargetWords;
+use super::signals::TargetArrival;
+use super::signals::TargetWords;
 use crate::SharedExecutor;
 
 /// Longest time that a silent target holds a call.
--- a/packages/turnford-standin/src/target.rs
+++ b/packages/turnford-standin/src/target.rs
@@ -28,11 +28,11 @@
 use turnford_http::HttpResponse;
 use turnford_platform::VmEntry;
 
+use crate::control::json_response;
 use crate::journal::mark_of;
-use crate::shelf::ModelShelf;
-use crate::shelf::OrderBody;
-use crate::shelf::OrderResult;
-use crate::vms::json_response;
+use crate::models::ModelShelf;
+use crate::models::OrderBody;
+use crate::models::OrderResult;
 use crate::FaultKind;
 use crate::FaultTable;
 use crate::Journal;
