--- a/packages/turnford-standin/src/route.rs
+++ b/packages/turnford-standin/src/route.rs
@@ -1,6 +1,7 @@
-//! Stand-ins of the users' platform: its store, and the targets that its routes reach.
+//! Stand-ins for the users' platform: its store, and the targets of its routes.
 //!
-//! They speak what the platform speaks, so they know its names; what they do beyond that is small.
+//! They implement the platform's wire protocol and therefore use its names. Apart from the protocol
+//! they only inject faults and record what they receive.
 
 mod listener;
 mod meta;
--- a/packages/turnford-standin/src/route/listener.rs
+++ b/packages/turnford-standin/src/route/listener.rs
@@ -1,4 +1,4 @@
-//! A listener that can vanish with all its connections, as that of a process which ends.
+//! A listener that can be closed together with all its connections, as if its process had exited.
 
 use std::future::Future;
 use std::io;
@@ -17,25 +17,29 @@
 
 use crate::SharedExecutor;
 
-/// The tasks of an open door; dropped, they end at once.
-type DoorTasks = Arc<Mutex<Vec<Task<()>>>>;
+/// Tasks of an open listener and its connections; dropping a task cancels it at once.
+type ListenerTasks = Arc<Mutex<Vec<Task<()>>>>;
 
 /// The listener of one target and its connections.
-pub(crate) struct TargetDoor {
+pub(crate) struct TargetListener {
     executor: SharedExecutor,
-    tasks: DoorTasks,
+    tasks: ListenerTasks,
 }
 
-impl TargetDoor {
-    /// Makes a closed door.
+impl TargetListener {
+    /// Creates a closed listener.
     pub(crate) fn new(executor: &SharedExecutor) -> Self {
         Self {
             executor: executor.clone(),
-            tasks: DoorTasks::default(),
+            tasks: ListenerTasks::default(),
         }
     }
 
-    /// Listens on an address and serves whoever connects; port 0 lets the system choose.
+    /// Listens on an address and serves all connections; with port 0 the system chooses the port.
+    ///
+    /// # Errors
+    ///
+    /// Returns the system's error if the address can't be bound.
     pub(crate) fn open<F, Fut>(&self, address: SocketAddr, handler: F) -> io::Result<SocketAddr>
     where
         F: Fn(BufferedRequest) -> Fut + Clone + Send + Sync + 'static,
@@ -49,7 +53,7 @@
         Ok(address)
     }
 
-    /// Closes the listener and all connections: callers see theirs end, and new ones are refused.
+    /// Closes the listener and all connections; new connections are refused.
     pub(crate) fn close(&self) {
         let tasks = std::mem::take(&mut *lock(&self.tasks));
         drop(tasks);
@@ -58,7 +62,7 @@
 
 async fn accept<F, Fut>(
     executor: SharedExecutor,
-    tasks: DoorTasks,
+    tasks: ListenerTasks,
     listener: TcpListener,
     handler: F,
 ) where
@@ -74,6 +78,6 @@
     }
 }
 
-fn lock(tasks: &DoorTasks) -> std::sync::MutexGuard<'_, Vec<Task<()>>> {
+fn lock(tasks: &ListenerTasks) -> std::sync::MutexGuard<'_, Vec<Task<()>>> {
     tasks.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/packages/turnford-standin/src/route/meta.rs
+++ b/packages/turnford-standin/src/route/meta.rs
@@ -1,4 +1,5 @@
-//! The platform's store: objects by kind and name, watches, and a history that can be forgotten.
+//! Stand-in for the platform's store: objects by kind and name, watches, and a change history that can
+//! be compacted.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,20 +21,20 @@
 use crate::fleet::serve;
 use crate::SharedExecutor;
 
-/// Pause between looks for changes while a watch waits.
-const WATCH_PAUSE: Duration = Duration::from_millis(5);
+/// Interval at which a waiting watch checks for changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Objects on one page of a list.
+/// Maximum number of objects on one page of a list.
 const PAGE_SIZE: usize = 500;
 
-/// How the store treats those who come through one door.
+/// How the store responds to calls at one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It serves them.
+    /// Calls are served.
     Open,
-    /// It turns them away.
+    /// Calls get status 503.
     Unavailable,
-    /// It says nothing.
+    /// Calls get no response.
     Unresponsive,
 }
 
@@ -50,26 +51,26 @@
     kind: String,
     name: String,
     object: MetaObject,
-    is_gone: bool,
+    is_deleted: bool,
 }
 
-/// What a store holds at a moment.
+/// A snapshot of a store's content and history.
 #[derive(Clone, Debug, Default)]
 pub struct MetaSnapshot {
     revision: u64,
     objects: BTreeMap<(String, String), MetaObject>,
     changes: Vec<MetaChange>,
-    /// Revision up to which history is forgotten.
-    forgotten: u64,
+    /// Revision up to which the history is compacted.
+    compacted_to: u64,
 }
 
 #[derive(Debug, Default)]
 struct MetaState {
-    held: MetaSnapshot,
-    /// How often it came back from a copy.
+    current: MetaSnapshot,
+    /// Number of restores from a snapshot.
     era: u64,
-    doors: Vec<EndpointState>,
-    /// Calls through each door.
+    endpoints: Vec<EndpointState>,
+    /// Number of calls at each endpoint.
     calls: Vec<u64>,
 }
 
@@ -80,98 +81,101 @@
 }
 
 impl MetaStore {
-    /// Makes a store without objects and doors.
+    /// Creates a store without objects and endpoints.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Opens a door: an address whose callers can be treated apart from others.
+    /// Opens an endpoint: an address with a state of its own. Returns its index and address.
     ///
     /// # Errors
     ///
     /// Returns the system's error if no port can be bound.
     pub fn open_endpoint(&self, executor: &SharedExecutor) -> io::Result<(usize, SocketAddr)> {
-        let door = {
+        let endpoint = {
             let mut state = self.lock();
-            state.doors.push(EndpointState::Open);
+            state.endpoints.push(EndpointState::Open);
             state.calls.push(0);
-            state.doors.len() - 1
+            state.endpoints.len() - 1
         };
         let store = self.clone();
         let address = serve(0, executor, move |call| {
             let store = store.clone();
-            async move { store.handle(door, call).await }
+            async move { store.handle(endpoint, call).await }
         })?;
-        Ok((door, address))
+        Ok((endpoint, address))
     }
 
-    /// Sets how those who come through a door are treated.
-    pub fn set_endpoint(&self, door: usize, to: EndpointState) {
-        self.lock().doors[door] = to;
+    /// Sets the state of an endpoint.
+    pub fn set_endpoint(&self, endpoint: usize, to: EndpointState) {
+        self.lock().endpoints[endpoint] = to;
     }
 
-    /// Returns the number of calls that came through a door, those turned away among them.
-    pub fn calls(&self, door: usize) -> u64 {
-        self.lock().calls[door]
+    /// Returns the number of calls at an endpoint, including those that got no or an error response.
+    pub fn calls(&self, endpoint: usize) -> u64 {
+        self.lock().calls[endpoint]
     }
 
-    /// Writes an object; each write is a change.
+    /// Writes an object; a write that changes the object gets a new revision.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
-        self.lock().held.put(kind, name, spec);
+        self.lock().current.put(kind, name, spec);
     }
 
     /// Removes an object.
     pub fn remove(&self, kind: &str, name: &str) {
-        self.lock().held.remove(kind, name);
+        self.lock().current.remove(kind, name);
     }
 
-    /// Returns the names of a kind's objects.
+    /// Returns the names of the objects of a kind.
     pub fn names(&self, kind: &str) -> Vec<String> {
         let state = self.lock();
-        let names = state.held.objects.keys().filter(|(other, _)| other == kind);
+        let names = state
+            .current
+            .objects
+            .keys()
+            .filter(|(other, _)| other == kind);
         names.map(|(_, name)| name.clone()).collect()
     }
 
-    /// Forgets all changes so far.
+    /// Discards the change history; watches from earlier revisions get status 410.
     pub fn compact_history(&self) {
-        let held = &mut self.lock().held;
-        held.forgotten = held.revision;
-        held.changes.clear();
+        let current = &mut self.lock().current;
+        current.compacted_to = current.revision;
+        current.changes.clear();
     }
 
-    /// Returns a copy of what the store holds.
+    /// Returns a snapshot of the store.
     pub fn snapshot(&self) -> MetaSnapshot {
-        self.lock().held.clone()
+        self.lock().current.clone()
     }
 
-    /// Has the store come back from a copy: what was written since is gone, and revisions that were given
-    /// out since are given out again.
-    pub fn restore(&self, copy: MetaSnapshot) {
+    /// Restores the store from a snapshot: later writes are lost, and their revisions are assigned again.
+    pub fn restore(&self, snapshot: MetaSnapshot) {
         let mut state = self.lock();
-        state.held = copy;
+        state.current = snapshot;
         state.era += 1;
     }
 
     /// Returns the store's revision.
     pub fn revision(&self) -> u64 {
-        self.lock().held.revision
+        self.lock().current.revision
     }
 
     fn lock(&self) -> MutexGuard<'_, MetaState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn handle(&self, door: usize, call: BufferedRequest) -> Option<HttpResponse> {
-        let mut answer = self.answer(door, call).await?;
+    async fn handle(&self, endpoint: usize, call: BufferedRequest) -> Option<HttpResponse> {
+        let mut answer = self.answer(endpoint, call).await?;
         answer.insert_header("store-era", self.lock().era.to_string());
         Some(answer)
     }
 
-    async fn answer(&self, door: usize, call: BufferedRequest) -> Option<HttpResponse> {
+    async fn answer(&self, endpoint: usize, call: BufferedRequest) -> Option<HttpResponse> {
         let state = {
             let mut state = self.lock();
-            state.calls[door] += 1;
-            state.doors[door]
+            state.calls[endpoint] += 1;
+            state.endpoints[endpoint]
         };
         match state {
             EndpointState::Open => {}
@@ -196,7 +200,7 @@
             ("PUT", Some(name)) => self.replace(&kind, &name, &call),
             ("DELETE", Some(name)) => {
                 self.remove(&kind, &name);
-                json_answer(StatusCode::OK, &json!({}))
+                json_response(StatusCode::OK, &json!({}))
             }
             _ => HttpResponse::new(StatusCode::NOT_FOUND),
         };
@@ -204,8 +208,8 @@
     }
 
     fn list(&self, kind: &str, after: &str) -> HttpResponse {
-        let held = &self.lock().held;
-        let objects = held.objects.iter();
+        let current = &self.lock().current;
+        let objects = current.objects.iter();
         let mut items: Vec<Value> = objects
             .filter(|((other, name), _)| other == kind && name.as_str() > after)
             .map(|((_, name), object)| object_json(name, object))
@@ -213,15 +217,15 @@
         let truncated = items.len() > PAGE_SIZE;
         items.truncate(PAGE_SIZE);
         let body = json!({
-            "items": items, "truncated": truncated, "timestamp": held.revision,
+            "items": items, "truncated": truncated, "timestamp": current.revision,
         });
-        json_answer(StatusCode::OK, &body)
+        json_response(StatusCode::OK, &body)
     }
 
     fn get(&self, kind: &str, name: &str) -> HttpResponse {
-        let held = &self.lock().held;
-        match held.objects.get(&(kind.to_owned(), name.to_owned())) {
-            Some(object) => json_answer(StatusCode::OK, &object_json(name, object)),
+        let current = &self.lock().current;
+        match current.objects.get(&(kind.to_owned(), name.to_owned())) {
+            Some(object) => json_response(StatusCode::OK, &object_json(name, object)),
             None => HttpResponse::new(StatusCode::NOT_FOUND),
         }
     }
@@ -229,34 +233,34 @@
     async fn watch(&self, kind: &str, call: &BufferedRequest) -> HttpResponse {
         let from = call.query_number("watch", 0);
         let wait = Duration::from_millis(call.query_number("wait_ms", 0));
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
-            if let Some(answer) = self.changes_since(kind, from, begun.elapsed() >= wait) {
+            if let Some(answer) = self.changes_since(kind, from, started_at.elapsed() >= wait) {
                 return answer;
             }
-            Timer::after(WATCH_PAUSE).await;
+            Timer::after(WATCH_POLL_INTERVAL).await;
         }
     }
 
-    /// Returns the answer to a watch, `None` while it waits.
-    fn changes_since(&self, kind: &str, from: u64, is_over: bool) -> Option<HttpResponse> {
-        let held = &self.lock().held;
-        if from < held.forgotten || from > held.revision {
+    /// Returns the response to a watch, or `None` if it has to wait further.
+    fn changes_since(&self, kind: &str, from: u64, is_expired: bool) -> Option<HttpResponse> {
+        let current = &self.lock().current;
+        if from < current.compacted_to || from > current.revision {
             return Some(HttpResponse::new(StatusCode::GONE));
         }
-        let changes = held.changes.iter();
+        let changes = current.changes.iter();
         let events: Vec<Value> = changes
             .filter(|change| change.kind == kind && change.revision > from)
             .map(|change| {
                 let object = object_json(&change.name, &change.object);
-                json!({ "deleted": change.is_gone, "object": object })
+                json!({ "deleted": change.is_deleted, "object": object })
             })
             .collect();
-        if events.is_empty() && !is_over {
+        if events.is_empty() && !is_expired {
             return None;
         }
-        let body = json!({ "events": events, "timestamp": held.revision });
-        Some(json_answer(StatusCode::OK, &body))
+        let body = json!({ "events": events, "timestamp": current.revision });
+        Some(json_response(StatusCode::OK, &body))
     }
 
     fn create(&self, kind: &str, call: &BufferedRequest) -> HttpResponse {
@@ -266,26 +270,26 @@
         let Some(name) = body["metadata"]["name"].as_str() else {
             return HttpResponse::new(StatusCode::BAD_REQUEST);
         };
-        let held = &mut self.lock().held;
+        let current = &mut self.lock().current;
         let key = (kind.to_owned(), name.to_owned());
-        if held.objects.contains_key(&key) {
+        if current.objects.contains_key(&key) {
             return HttpResponse::new(StatusCode::CONFLICT);
         }
-        held.put(kind, name, body["specification"].clone());
-        json_answer(StatusCode::OK, &json!({}))
+        current.put(kind, name, body["specification"].clone());
+        json_response(StatusCode::OK, &json!({}))
     }
 
     fn replace(&self, kind: &str, name: &str, call: &BufferedRequest) -> HttpResponse {
         let Ok(body) = serde_json::from_slice::<Value>(&call.body) else {
             return HttpResponse::new(StatusCode::BAD_REQUEST);
         };
-        let held = &mut self.lock().held;
+        let current = &mut self.lock().current;
         let key = (kind.to_owned(), name.to_owned());
-        if !held.objects.contains_key(&key) {
+        if !current.objects.contains_key(&key) {
             return HttpResponse::new(StatusCode::NOT_FOUND);
         }
-        held.put(kind, name, body["specification"].clone());
-        json_answer(StatusCode::OK, &json!({}))
+        current.put(kind, name, body["specification"].clone());
+        json_response(StatusCode::OK, &json!({}))
     }
 }
 
@@ -303,24 +307,24 @@
             spec,
         };
         self.objects.insert(key, object.clone());
-        self.note(kind, name, object, false);
+        self.record_change(kind, name, object, false);
     }
 
     fn remove(&mut self, kind: &str, name: &str) {
         let key = (kind.to_owned(), name.to_owned());
         if let Some(object) = self.objects.remove(&key) {
             self.revision += 1;
-            self.note(kind, name, object, true);
+            self.record_change(kind, name, object, true);
         }
     }
 
-    fn note(&mut self, kind: &str, name: &str, object: MetaObject, is_gone: bool) {
+    fn record_change(&mut self, kind: &str, name: &str, object: MetaObject, is_deleted: bool) {
         self.changes.push(MetaChange {
             revision: self.revision,
             kind: kind.to_owned(),
             name: name.to_owned(),
             object,
-            is_gone,
+            is_deleted,
         });
     }
 }
@@ -339,7 +343,7 @@
     })
 }
 
-pub(super) fn json_answer(status: StatusCode, body: &Value) -> HttpResponse {
+pub(super) fn json_response(status: StatusCode, body: &Value) -> HttpResponse {
     let mut answer = HttpResponse::new(status);
     answer.insert_header("content-type", "application/json");
     answer.set_body(body.to_string());
--- a/packages/turnford-standin/src/route/piece.rs
+++ b/packages/turnford-standin/src/route/piece.rs
@@ -1,4 +1,4 @@
-//! Pieces of stages at a target.
+//! Execution of stage pieces at a target.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -10,25 +10,25 @@
 use turnford_http::BufferedRequest;
 use turnford_http::HttpResponse;
 
-use super::meta::json_answer;
+use super::meta::json_response;
 use super::run::RouteRun;
 use super::run::RunKind;
 use super::target::lock;
-use super::target::refusal;
+use super::target::rejection_for;
 use super::target::TargetFault;
 use super::target::TargetRole;
 use super::target::TargetState;
-use super::target::SILENCE;
+use super::target::UNRESPONSIVE_TIME;
 
-/// The turn of the call at work; it goes on to the next call also where the caller left.
-struct TurnGuard<'a> {
-    turns: &'a async_channel::Sender<()>,
+/// The slot of the running call; dropping it frees the slot, even if the caller disconnected.
+struct SlotGuard<'a> {
+    free_slots: &'a async_channel::Sender<()>,
 }
 
-impl Drop for TurnGuard<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        // The channel has room for its one turn.
-        let _ = self.turns.try_send(());
+        // The channel has capacity for its one slot.
+        let _ = self.free_slots.try_send(());
     }
 }
 
@@ -37,7 +37,7 @@
         let body: Value = serde_json::from_slice(&call.body).unwrap_or(Value::Null);
         for handle in body["handles"].as_array().into_iter().flatten() {
             let handle = handle.as_str().unwrap_or("").to_owned();
-            // The handle holds the id of the try that it was made for.
+            // The handle contains the id of the attempt for which it was created.
             let attempt = handle.split('/').nth(1).unwrap_or("");
             let attempt = attempt.split('.').next().unwrap_or("").to_owned();
             self.journal.add(RouteRun {
@@ -45,7 +45,7 @@
                 ..self.run(call, attempt, RunKind::Request)
             });
         }
-        json_answer(StatusCode::OK, &json!({}))
+        json_response(StatusCode::OK, &json!({}))
     }
 
     pub(super) async fn run_pieces(
@@ -53,8 +53,8 @@
         call: &BufferedRequest,
     ) -> Option<HttpResponse> {
         let TargetRole::Stage {
-            call_overhead: call_span,
-            piece_time: piece_span,
+            call_overhead: overhead,
+            piece_time: time_per_piece,
         } = self.role
         else {
             return Some(HttpResponse::new(StatusCode::NOT_FOUND));
@@ -62,23 +62,25 @@
         let body: Value = serde_json::from_slice(&call.body).ok()?;
         let items = body["items"].as_array()?.clone();
         let fault = self.next_fault();
-        if let Some(answer) = fault.as_ref().and_then(refusal) {
+        if let Some(answer) = fault.as_ref().and_then(rejection_for) {
             return Some(answer);
         }
         let number = self.calls.fetch_add(1, Ordering::SeqCst);
-        if self.turn.recv().await.is_err() {
+        if self.slot.recv().await.is_err() {
             return None;
         }
-        let turn = TurnGuard { turns: &self.turns };
-        if self.crashes_under_piece(&items) {
-            self.note_lost(call, &items, number);
+        let slot = SlotGuard {
+            free_slots: &self.free_slots,
+        };
+        if self.crashes_on_piece(&items) {
+            self.record_lost_pieces(call, &items, number);
             self.crash_soon();
-            Timer::after(SILENCE).await;
+            Timer::after(UNRESPONSIVE_TIME).await;
             return None;
         }
         let count = u32::try_from(items.len()).unwrap_or(u32::MAX);
-        Timer::after(call_span + piece_span * count).await;
-        drop(turn);
+        Timer::after(overhead + time_per_piece * count).await;
+        drop(slot);
         let results = items.iter().map(|item| self.run_piece(call, item, number));
         let results: Vec<Value> = results.collect();
         match fault {
@@ -86,14 +88,14 @@
             Some(TargetFault::Fail) => {
                 let failed = results.iter().map(|_| json!({ "reason": "error" }));
                 let failed: Vec<Value> = failed.collect();
-                Some(json_answer(StatusCode::OK, &json!({ "items": failed })))
+                Some(json_response(StatusCode::OK, &json!({ "items": failed })))
             }
-            _ => Some(json_answer(StatusCode::OK, &json!({ "items": results }))),
+            _ => Some(json_response(StatusCode::OK, &json!({ "items": results }))),
         }
     }
 
-    /// Notes the pieces of a call under which the target crashes.
-    fn note_lost(&self, call: &BufferedRequest, items: &[Value], number: u64) {
+    /// Records the pieces of a call that crashes the target.
+    fn record_lost_pieces(&self, call: &BufferedRequest, items: &[Value], number: u64) {
         for item in items {
             let kind = RunKind::Piece {
                 stage: item["stage"].as_u64().unwrap_or(0),
@@ -108,7 +110,7 @@
         }
     }
 
-    fn crashes_under_piece(&self, items: &[Value]) -> bool {
+    fn crashes_on_piece(&self, items: &[Value]) -> bool {
         let body = lock(&self.crash_body);
         let Some(body) = &*body else {
             return false;
--- a/packages/turnford-standin/src/route/run.rs
+++ b/packages/turnford-standin/src/route/run.rs
@@ -1,78 +1,78 @@
-//! What the targets of routes really ran.
+//! Journal of what the targets of routes ran.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-/// What a target was asked for.
+/// Kind of a run at a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunKind {
     /// The request itself.
     Request,
-    /// A piece of a stage; the number of the call that it was part of.
+    /// A piece of a stage.
     Piece {
         /// Stage of the request.
         stage: u64,
         /// Piece of the stage.
         piece: u64,
-        /// Number of the call at its target.
+        /// Number of the call, counted per target, that contained the piece.
         call: u64,
     },
-    /// A result was given up.
+    /// A result was released, with its handle.
     Release(String),
 }
 
-/// One thing that a target did.
+/// A run at a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRun {
-    /// Incarnation of the target.
+    /// Instance id of the target.
     pub target: String,
-    /// What it was asked for.
+    /// Kind of the run.
     pub kind: RunKind,
-    /// Id of the client's try.
+    /// Id of the client's attempt.
     pub attempt: String,
-    /// Account that the node named.
+    /// Account sent by the node.
     pub account: Option<String>,
     /// Whether the client's key reached the target.
     pub has_key: bool,
-    /// Milliseconds that the target was given.
+    /// Deadline sent by the node, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Results that it was given.
+    /// Handles of the input results.
     pub inputs: Vec<String>,
-    /// Whether the target was told to spoil it.
+    /// Whether a fault was injected into the run.
     pub is_faulted: bool,
-    /// Whether it ran to its end; false while it runs, and where its caller left.
+    /// Whether the run completed; false while it is running, and if its caller disconnected.
     pub is_complete: bool,
 }
 
-/// Everything that the targets of one test ran.
+/// Runs of all targets of one test.
 #[derive(Debug, Default)]
 pub struct RouteJournal {
     runs: Mutex<Vec<RouteRun>>,
 }
 
 impl RouteJournal {
-    /// Adds a run; returns its place.
+    /// Adds a run and returns its index.
     pub(crate) fn add(&self, run: RouteRun) -> usize {
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
         runs.push(run);
         runs.len() - 1
     }
 
-    /// Notes that a run came to its end.
-    pub(crate) fn end(&self, place: usize) {
+    /// Records that a run completed.
+    pub(crate) fn record_end(&self, index: usize) {
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(run) = runs.get_mut(place) {
+        if let Some(run) = runs.get_mut(index) {
             run.is_complete = true;
         }
     }
 
-    /// Notes that all runs under way at a target broke off.
-    pub(crate) fn spoil(&self, target: &str) {
+    /// Marks all unfinished runs of a target as faulted.
+    pub(crate) fn mark_unfinished_faulted(&self, target: &str) {
         let mut runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        let broken = runs
+        let unfinished = runs
             .iter_mut()
             .filter(|run| run.target == target && !run.is_complete);
-        broken.for_each(|run| run.is_faulted = true);
+        unfinished.for_each(|run| run.is_faulted = true);
     }
 
     /// Returns all runs.
@@ -81,13 +81,13 @@
         runs.clone()
     }
 
-    /// Returns the runs of one try, in their order.
+    /// Returns the runs of an attempt in the order in which they started.
     pub fn runs_of(&self, attempt: &str) -> Vec<RouteRun> {
         let runs = self.runs().into_iter();
         runs.filter(|run| run.attempt == attempt).collect()
     }
 
-    /// Returns the runs of a try's request itself, without its pieces.
+    /// Returns the runs of an attempt's request itself, without pieces and releases.
     pub fn requests(&self, attempt: &str) -> Vec<RouteRun> {
         let runs = self.runs_of(attempt).into_iter();
         runs.filter(|run| run.kind == RunKind::Request).collect()
--- a/packages/turnford-standin/src/route/signals.rs
+++ b/packages/turnford-standin/src/route/signals.rs
@@ -1,4 +1,4 @@
-//! What a target says of itself in its answers, and what reaches it meanwhile.
+//! Signals that a target sends in its responses, and the calls that it receives.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
@@ -11,23 +11,25 @@
 
 use super::target::lock;
 
-/// Time after a target asked a caller for rest in which calls that cross may still come, from the
-/// platform's rules.
+/// Time after a target requested back-off in which calls that cross the request may still arrive;
+/// specified by the platform.
 pub const BACKOFF_GRACE: Duration = Duration::from_millis(500);
 
-/// Span of the windows in which a target that names a limit counts its calls, from the platform's rules.
+/// Length of the windows in which a target with an announced limit counts its calls; specified by the
+/// platform.
 pub const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 
-/// Time after a target first named its limit from which on it must be kept, from the platform's rules.
+/// Time after the first announcement of a limit from which on it must be kept; specified by the
+/// platform.
 pub const LIMIT_GRACE: Duration = Duration::from_secs(3);
 
-/// Returns the calls that a window may have at a target that takes so many a second, from the platform's
-/// rules.
+/// Returns the maximum number of calls per window for a limit in calls per second; specified by the
+/// platform.
 pub fn limit_allowance(rate: f64) -> usize {
     (1.5 * rate * LIMIT_WINDOW.as_secs_f64()) as usize + 5
 }
 
-/// Returns the most calls in one window, of those from a moment on.
+/// Returns the largest number of calls in one window, over windows that begin at `from` or later.
 pub fn max_window_calls(arrivals: &[TargetArrival], from: Instant) -> usize {
     let times: Vec<Instant> = arrivals.iter().map(|call| call.at).collect();
     let windows = times.iter().filter(|at| **at >= from).map(|begin| {
@@ -41,49 +43,50 @@
 /// A call that reached a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetArrival {
-    /// When it came.
+    /// Arrival time.
     pub at: Instant,
-    /// Its path.
+    /// Path of the call.
     pub path: String,
-    /// Id of the client's try; empty for calls that belong to none.
+    /// Id of the client's attempt; empty for calls that belong to none.
     pub attempt: String,
-    /// End of the rest for which the target turned it away, `None` if it took it.
+    /// End of the back-off period for which the target rejected the call, `None` if it accepted it.
     pub backoff_until: Option<Instant>,
-    /// Whether it came while the target rested, not counting calls that cross its first word.
+    /// Whether the call arrived during a back-off period, more than [`BACKOFF_GRACE`] after its first
+    /// announcement.
     pub violates_backoff: bool,
 }
 
-/// A rest that a target asks for.
+/// A back-off period that a target requests.
 #[derive(Clone, Copy, Debug)]
-struct RestWish {
+struct BackoffRequest {
     until: Instant,
-    /// When the first caller was told.
-    told: Option<Instant>,
+    /// Time of the first announcement to a caller.
+    announced_at: Option<Instant>,
 }
 
-/// What one target says of itself.
+/// Signals of one target.
 #[derive(Default)]
-pub(super) struct TargetWords {
-    leaves: AtomicBool,
-    rest: Mutex<Option<RestWish>>,
-    /// What it names as its limit.
+pub(super) struct TargetSignals {
+    is_leaving: AtomicBool,
+    backoff: Mutex<Option<BackoffRequest>>,
+    /// Announced limit, as sent in the header.
     limit: Mutex<Option<String>>,
     arrivals: Mutex<Vec<TargetArrival>>,
 }
 
-impl TargetWords {
-    pub(super) fn announce_leaving(&self, leaves: bool) {
-        self.leaves.store(leaves, Ordering::SeqCst);
+impl TargetSignals {
+    pub(super) fn announce_leaving(&self, is_leaving: bool) {
+        self.is_leaving.store(is_leaving, Ordering::SeqCst);
     }
 
-    pub(super) fn leaves(&self) -> bool {
-        self.leaves.load(Ordering::SeqCst)
+    pub(super) fn is_leaving(&self) -> bool {
+        self.is_leaving.load(Ordering::SeqCst)
     }
 
     pub(super) fn request_backoff(&self, span: Duration) {
-        *lock(&self.rest) = Some(RestWish {
+        *lock(&self.backoff) = Some(BackoffRequest {
             until: Instant::now() + span,
-            told: None,
+            announced_at: None,
         });
     }
 
@@ -91,36 +94,36 @@
         *lock(&self.limit) = limit.map(str::to_owned);
     }
 
-    /// Notes a call; returns the time of rest to turn it away with, if the target rests.
-    pub(super) fn note_arrival(&self, call: &BufferedRequest) -> Option<String> {
+    /// Records a call. During a back-off period, returns the remaining seconds with which to reject it.
+    pub(super) fn record_arrival(&self, call: &BufferedRequest) -> Option<String> {
         let now = Instant::now();
-        let mut rest = lock(&self.rest);
-        let left = rest.map(|rest| rest.until.saturating_duration_since(now));
-        let left = left.filter(|left| !left.is_zero());
-        let told = rest.and_then(|rest| rest.told);
-        let violates_backoff =
-            left.is_some() && told.is_some_and(|told| now > told + BACKOFF_GRACE);
-        if let Some(rest) = rest.as_mut() {
-            rest.told.get_or_insert(now);
+        let mut backoff = lock(&self.backoff);
+        let remaining = backoff.map(|backoff| backoff.until.saturating_duration_since(now));
+        let remaining = remaining.filter(|remaining| !remaining.is_zero());
+        let announced_at = backoff.and_then(|backoff| backoff.announced_at);
+        let violates_backoff = remaining.is_some()
+            && announced_at.is_some_and(|announced_at| now > announced_at + BACKOFF_GRACE);
+        if let Some(backoff) = backoff.as_mut() {
+            backoff.announced_at.get_or_insert(now);
         }
         let attempt = call.header("x-turnford-attempt-id").unwrap_or("");
         lock(&self.arrivals).push(TargetArrival {
             at: now,
             path: call.path.clone(),
             attempt: attempt.to_owned(),
-            backoff_until: left.and(rest.map(|rest| rest.until)),
+            backoff_until: remaining.and(backoff.map(|backoff| backoff.until)),
             violates_backoff,
         });
-        left.map(|left| format!("{:.3}", left.as_secs_f64()))
+        remaining.map(|remaining| format!("{:.3}", remaining.as_secs_f64()))
     }
 
     pub(super) fn arrivals(&self) -> Vec<TargetArrival> {
         lock(&self.arrivals).clone()
     }
 
-    /// Adds what the target says to an answer.
-    pub(super) fn add_to(&self, answer: &mut HttpResponse) {
-        if self.leaves() {
+    /// Adds the headers of the target's signals to a response.
+    pub(super) fn add_headers(&self, answer: &mut HttpResponse) {
+        if self.is_leaving() {
             answer.insert_header("server-leaving", "1");
         }
         if let Some(limit) = lock(&self.limit).as_deref() {
--- a/packages/turnford-standin/src/route/site.rs
+++ b/packages/turnford-standin/src/route/site.rs
@@ -1,5 +1,5 @@
-//! A small site of the users' platform in this process: its store, the targets that a configuration
-//! names, and a client.
+//! A small site of the users' platform in this process: its store, the targets of a configuration, and
+//! the requests of a client.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
 /// Targets of each service.
 const TARGET_COUNT: usize = 2;
 
-/// Time that clients of the stand-in site wait, in milliseconds.
-const PATIENCE_MS: &str = "8000";
+/// Deadline of the site's client requests, in milliseconds.
+const CLIENT_TIMEOUT_MS: &str = "8000";
 
 /// A running site without nodes.
 pub struct RouteSite {
@@ -30,14 +30,14 @@
     pub store: MetaStore,
     /// Address of the store.
     pub address: SocketAddr,
-    /// What the targets ran.
+    /// Runs of the targets.
     pub journal: Arc<RouteJournal>,
     /// The targets.
     pub targets: Vec<RouteTarget>,
     config: Value,
 }
 
-/// A route, as a client of the site calls it.
+/// A call of a route by a client of the site.
 #[derive(Clone, Debug)]
 pub struct RouteCall {
     /// Name of the route.
@@ -49,11 +49,11 @@
 }
 
 impl RouteSite {
-    /// Starts the store with a configuration, and two targets for each service in it.
+    /// Starts the store with a configuration, and two targets for each of its services.
     ///
     /// # Errors
     ///
-    /// Returns an error if the text is no configuration or no port can be bound.
+    /// Returns an error if the text is not valid JSON or no port can be bound.
     pub fn start(config: &str, executor: &SharedExecutor) -> io::Result<Self> {
         let config: Value = serde_json::from_str(config).map_err(io::Error::other)?;
         let store = MetaStore::new();
@@ -100,21 +100,21 @@
 }
 
 impl RouteCall {
-    /// Returns the request to a node, with an id that no other has.
+    /// Creates the request to a node; `attempt` must be unique.
     ///
     /// # Errors
     ///
-    /// Returns a fault if the route's path is none.
+    /// Returns an error if the route's path is invalid.
     pub fn request(&self, to: SocketAddr, attempt: &str) -> Result<HttpRequest, HttpError> {
         let mut request = HttpClient::request(Method::POST, to, &self.path)?;
         request.insert_header("host", self.host.as_str());
         request.insert_header("authorization", format!("Bearer {}", self.key));
         request.insert_header("x-turnford-attempt-id", attempt);
-        request.insert_header("x-turnford-deadline-ms", PATIENCE_MS);
+        request.insert_header("x-turnford-deadline-ms", CLIENT_TIMEOUT_MS);
         request.insert_header("x-turnford-model", "m");
         request.insert_header("x-turnford-token-counts", "1460,80");
-        let parts = "5c1e07a2:800,91bd3f06:410,e4402b7d:250";
-        request.insert_header("x-turnford-prompt-prefix", parts);
+        let segments = "5c1e07a2:800,91bd3f06:410,e4402b7d:250";
+        request.insert_header("x-turnford-prompt-prefix", segments);
         if !self.pieces.is_empty() {
             request.insert_header("x-turnford-pieces", self.pieces.as_str());
             request.insert_header("x-turnford-piece-key", "7c1e07a291bd");
@@ -123,7 +123,7 @@
     }
 }
 
-/// Returns what the targets of a service are, by what the configuration says of it.
+/// Returns the role of a service's targets according to the configuration.
 fn role_of(service: &Value) -> TargetRole {
     let millis = |value: &Value| {
         let millis = value.as_f64().unwrap_or(0.0).max(0.0);
--- a/packages/turnford-standin/src/route/target.rs
+++ b/packages/turnford-standin/src/route/target.rs
@@ -22,34 +22,34 @@
 use turnford_http::HttpBody;
 use turnford_http::HttpResponse;
 
-use super::listener::TargetDoor;
-use super::meta::json_answer;
+use super::listener::TargetListener;
+use super::meta::json_response;
 use super::meta::MetaStore;
 use super::run::RouteJournal;
 use super::run::RouteRun;
 use super::run::RunKind;
 use super::signals::TargetArrival;
-use super::signals::TargetWords;
+use super::signals::TargetSignals;
 use crate::SharedExecutor;
 
-/// Longest time that a silent target holds a call.
-pub(super) const SILENCE: Duration = Duration::from_secs(60);
+/// Time for which an unresponsive target keeps a call open.
+pub(super) const UNRESPONSIVE_TIME: Duration = Duration::from_secs(60);
 
-/// Time until a call is turned away with a time of rest: others that were sent with it are under way.
-const REFUSAL_SPAN: Duration = Duration::from_millis(60);
+/// Delay of a rejection with back-off, so that calls that were sent at the same time arrive before it.
+const REJECTION_DELAY: Duration = Duration::from_millis(60);
 
-/// Time that a crashed target takes to be back, under its id.
-const RESTART_SPAN: Duration = Duration::from_millis(700);
+/// Time after which a crashed target restarts under the same id.
+const RESTART_DELAY: Duration = Duration::from_millis(700);
 
-/// Time that a request runs before its target crashes under it.
-const CRASH_SPAN: Duration = Duration::from_millis(30);
+/// Time that a request runs before it crashes its target.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
-/// What a target is.
+/// Role of a target.
 #[derive(Clone, Debug)]
 pub enum TargetRole {
-    /// Answers with a few bytes after a time.
+    /// Responds with a short body after the given time.
     Plain(Duration),
-    /// Answers with events.
+    /// Responds with a stream of events.
     Engine {
         /// Time until the first event.
         first_event: Duration,
@@ -58,33 +58,33 @@
         /// Number of events.
         events: u64,
     },
-    /// Runs pieces, one call at a time.
+    /// Runs pieces of a stage, one call at a time.
     Stage {
-        /// Time of a call without its pieces.
+        /// Time of a call in addition to its pieces.
         call_overhead: Duration,
-        /// Time of a piece.
+        /// Time per piece.
         piece_time: Duration,
     },
 }
 
-/// What goes wrong with one call.
+/// A fault that is injected into one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TargetFault {
-    /// Turned away before it runs.
+    /// The call is rejected before it runs.
     Reject,
-    /// It runs, and the connection closes without an answer.
+    /// The call runs, and the connection closes without a response.
     Disconnect,
-    /// It runs, and its answer breaks off.
+    /// The call runs, and its response is truncated.
     Truncate,
-    /// It runs, and its answer carries another request's id.
+    /// The call runs, and its response carries the id of another attempt.
     AttemptMismatch,
-    /// It runs and fails.
+    /// The call runs and fails.
     Fail,
-    /// It takes this much longer.
+    /// The call takes longer by this time.
     Slow(Duration),
-    /// Turned away before it runs, after a little while, with this time of rest.
+    /// The call is rejected before it runs, after a short delay, with this `retry-after` value.
     Backoff(&'static str),
-    /// It runs, and its answer tells of a load that makes no sense.
+    /// The call runs, and its response carries an invalid load header.
     InvalidLoad,
 }
 
@@ -94,27 +94,27 @@
     hall: String,
     store: MetaStore,
     executor: SharedExecutor,
-    door: TargetDoor,
+    listener: TargetListener,
     address: Mutex<Option<SocketAddr>>,
-    /// Start of its process, in milliseconds of the time of day.
-    born: AtomicU64,
-    /// Body of the requests under which it crashes.
+    /// Start time of the process, in milliseconds since the Unix epoch.
+    process_start: AtomicU64,
+    /// Body of the requests, or key of the pieces, that crash the target.
     pub(super) crash_body: Mutex<Option<String>>,
-    /// What its entry said of it last, `ready` or `draining`.
-    listed: Mutex<String>,
-    /// How often it crashed.
+    /// State in the target's last store entry, `ready` or `draining`.
+    listed_state: Mutex<String>,
+    /// Number of crashes.
     crashes: AtomicU64,
-    /// How often it wrote its entry anew.
-    writes: AtomicU64,
+    /// Number of changes of the store entry by [`RouteTarget::republish_changed`].
+    entry_changes: AtomicU64,
     pub(super) role: TargetRole,
     pub(super) journal: Arc<RouteJournal>,
     faults: Mutex<VecDeque<TargetFault>>,
-    is_silent: AtomicBool,
-    words: TargetWords,
+    is_unresponsive: AtomicBool,
+    signals: TargetSignals,
     pub(super) calls: AtomicU64,
-    /// Held by the call at work at a target of a stage.
-    pub(super) turn: async_channel::Receiver<()>,
-    pub(super) turns: async_channel::Sender<()>,
+    /// The one slot of a stage target; taken by the running call.
+    pub(super) slot: async_channel::Receiver<()>,
+    pub(super) free_slots: async_channel::Sender<()>,
 }
 
 /// A running target, listed in the store.
@@ -124,7 +124,7 @@
 }
 
 impl RouteTarget {
-    /// Starts a target and lists it.
+    /// Starts a target and publishes it in the store.
     ///
     /// # Errors
     ///
@@ -137,122 +137,125 @@
         service: &str,
         role: TargetRole,
     ) -> io::Result<Self> {
-        let (turns, turn) = async_channel::bounded(1);
-        // The channel is new and has room for its one turn.
-        let _ = turns.try_send(());
+        let (free_slots, slot) = async_channel::bounded(1);
+        // The channel is new and has capacity for its one slot.
+        let _ = free_slots.try_send(());
         let state = Arc::new(TargetState {
             id: id.to_owned(),
             service: service.to_owned(),
             hall: "hal-a".to_owned(),
             store: store.clone(),
             executor: executor.clone(),
-            door: TargetDoor::new(executor),
+            listener: TargetListener::new(executor),
             address: Mutex::new(None),
-            born: AtomicU64::new(time_of_day()),
+            process_start: AtomicU64::new(time_of_day()),
             crash_body: Mutex::default(),
-            listed: Mutex::default(),
+            listed_state: Mutex::default(),
             crashes: AtomicU64::new(0),
-            writes: AtomicU64::new(0),
+            entry_changes: AtomicU64::new(0),
             role,
             journal: journal.clone(),
             faults: Mutex::default(),
-            is_silent: AtomicBool::new(false),
-            words: TargetWords::default(),
+            is_unresponsive: AtomicBool::new(false),
+            signals: TargetSignals::default(),
             calls: AtomicU64::new(0),
-            turn,
-            turns,
+            slot,
+            free_slots,
         });
         state.open()?;
         state.publish("ready");
         Ok(Self { state })
     }
 
-    /// Returns its incarnation.
+    /// Returns the target's instance id.
     pub fn id(&self) -> &str {
         &self.state.id
     }
 
-    /// Returns how many calls of pieces came so far.
+    /// Returns the number of piece calls received.
     pub fn piece_calls(&self) -> u64 {
         self.state.calls.load(Ordering::SeqCst)
     }
 
-    /// Returns its address.
+    /// Returns the target's address.
     pub fn address(&self) -> SocketAddr {
         self.state.address()
     }
 
-    /// Lists the target in a state, `ready` or `draining`.
+    /// Writes the target's store entry with a state, `ready` or `draining`.
     pub fn publish(&self, state: &str) {
         self.state.publish(state);
     }
 
-    /// Has the target write its entry anew, changed in what does not matter here.
+    /// Writes the target's store entry with a changed field that is irrelevant to the tests.
     pub fn republish_changed(&self) {
-        self.state.writes.fetch_add(1, Ordering::SeqCst);
+        self.state.entry_changes.fetch_add(1, Ordering::SeqCst);
         self.republish();
     }
 
-    /// Has the target write its entry again as it is.
+    /// Writes the target's store entry again without changes.
     pub fn republish(&self) {
-        let listed = lock(&self.state.listed).clone();
-        self.state.publish(&listed);
+        let listed_state = lock(&self.state.listed_state).clone();
+        self.state.publish(&listed_state);
     }
 
-    /// Has the target crash each time that it runs a request with this body, or pieces with this key,
-    /// whoever sends them.
+    /// Makes the target crash whenever it runs a request with this body, or pieces with this key.
     pub fn crash_on(&self, body: &str) {
         *lock(&self.state.crash_body) = Some(body.to_owned());
     }
 
-    /// Has the target end at once; it starts again under its id a little later.
+    /// Crashes the target at once; it restarts under the same id after a short time.
     pub fn crash(&self) {
         self.state.crash();
     }
 
-    /// Returns how often it crashed.
+    /// Returns the number of crashes.
     pub fn crash_count(&self) -> u64 {
         self.state.crashes.load(Ordering::SeqCst)
     }
 
-    /// Has the target start anew under its id while nobody looks: it knows nothing of before.
+    /// Simulates an unobserved restart under the same id: publishes the entry with a new process start.
     pub fn restart(&self) {
-        let born = self.state.born.load(Ordering::SeqCst) + 1;
-        self.state.born.store(born, Ordering::SeqCst);
+        let process_start = self.state.process_start.load(Ordering::SeqCst) + 1;
+        self.state
+            .process_start
+            .store(process_start, Ordering::SeqCst);
         self.state.publish("ready");
     }
 
-    /// Takes the target off the list; it goes on serving.
+    /// Removes the target's store entry; the target continues to serve.
     pub fn unpublish(&self) {
         self.state.store.remove("servers", &self.state.id);
     }
 
-    /// Has the target say nothing any more, whatever it is asked, or speak again.
-    pub fn set_unresponsive(&self, is_silent: bool) {
-        self.state.is_silent.store(is_silent, Ordering::SeqCst);
+    /// Sets whether the target leaves all calls without a response.
+    pub fn set_unresponsive(&self, is_unresponsive: bool) {
+        self.state
+            .is_unresponsive
+            .store(is_unresponsive, Ordering::SeqCst);
     }
 
-    /// Has the target say in all its answers that it leaves, or no longer.
-    pub fn announce_leaving(&self, leaves: bool) {
-        self.state.words.announce_leaving(leaves);
+    /// Sets whether the target announces in all its responses that it is leaving.
+    pub fn announce_leaving(&self, is_leaving: bool) {
+        self.state.signals.announce_leaving(is_leaving);
     }
 
-    /// Has the target turn everything away for so long from now, and ask for rest until then.
+    /// Makes the target reject all calls for this time and request back-off until its end.
     pub fn request_backoff(&self, span: Duration) {
-        self.state.words.request_backoff(span);
+        self.state.signals.request_backoff(span);
     }
 
-    /// Has the target name a limit for all nodes together in all its answers, or none.
+    /// Sets the limit for all nodes together that the target announces in all its responses.
     pub fn announce_limit(&self, limit: Option<&str>) {
-        self.state.words.announce_limit(limit);
+        self.state.signals.announce_limit(limit);
     }
 
-    /// Returns all calls that reached it so far, also those that it turned away.
+    /// Returns all calls received, including rejected ones.
     pub fn arrivals(&self) -> Vec<TargetArrival> {
-        self.state.words.arrivals()
+        self.state.signals.arrivals()
     }
 
-    /// Has the next calls go wrong, one fault each.
+    /// Injects faults into the next calls, one per call.
     pub fn inject_faults(&self, faults: impl IntoIterator<Item = TargetFault>) {
         lock(&self.state.faults).extend(faults);
     }
@@ -264,7 +267,7 @@
         address.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 1)))
     }
 
-    /// Takes calls, from a crash on at the same address as before.
+    /// Opens the listener; after a crash, at the same address as before.
     fn open(self: &Arc<Self>) -> io::Result<()> {
         let before = *lock(&self.address);
         let address = before.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
@@ -273,64 +276,64 @@
             let state = state.clone();
             async move { state.handle(call).await }
         };
-        let address = self.door.open(address, handler)?;
+        let address = self.listener.open(address, handler)?;
         *lock(&self.address) = Some(address);
         Ok(())
     }
 
     fn publish(&self, state: &str) {
-        state.clone_into(&mut lock(&self.listed));
+        state.clone_into(&mut lock(&self.listed_state));
         let spec = json!({
             "service": self.service,
             "address": self.address().to_string(),
             "zone": self.hall,
             "version": "v1",
-            "slots": 8 + self.writes.load(Ordering::SeqCst),
+            "slots": 8 + self.entry_changes.load(Ordering::SeqCst),
             "state": state,
             "cold_remaining_ms": 0,
             "call_sequence": 0,
-            "born": self.born.load(Ordering::SeqCst),
+            "born": self.process_start.load(Ordering::SeqCst),
         });
         self.store.put("servers", &self.id, spec);
     }
 
     fn crash(self: &Arc<Self>) {
         self.crashes.fetch_add(1, Ordering::SeqCst);
-        self.journal.spoil(&self.id);
+        self.journal.mark_unfinished_faulted(&self.id);
         let state = self.clone();
         let restart = async move {
-            Timer::after(RESTART_SPAN).await;
-            state.born.store(time_of_day(), Ordering::SeqCst);
+            Timer::after(RESTART_DELAY).await;
+            state.process_start.store(time_of_day(), Ordering::SeqCst);
             match state.open() {
                 Ok(()) => {
-                    let listed = lock(&state.listed).clone();
-                    state.publish(&listed);
+                    let listed_state = lock(&state.listed_state).clone();
+                    state.publish(&listed_state);
                 }
-                Err(error) => log::error!("target {} stays away: {error}", state.id),
+                Err(error) => log::error!("target {} can't restart: {error}", state.id),
             }
         };
         self.executor.spawn(restart).detach();
-        self.door.close();
+        self.listener.close();
     }
 
     pub(super) fn crash_soon(self: &Arc<Self>) {
         let state = self.clone();
         let crash = async move {
-            Timer::after(CRASH_SPAN).await;
+            Timer::after(CRASH_DELAY).await;
             state.crash();
         };
         self.executor.spawn(crash).detach();
     }
 
-    fn crashes_under(&self, call: &BufferedRequest) -> bool {
+    fn crashes_on(&self, call: &BufferedRequest) -> bool {
         let body = lock(&self.crash_body);
         body.as_ref()
             .is_some_and(|body| body.as_bytes() == call.body)
     }
 
     async fn handle(self: &Arc<Self>, call: BufferedRequest) -> Option<HttpResponse> {
-        if self.is_silent.load(Ordering::SeqCst) {
-            Timer::after(SILENCE).await;
+        if self.is_unresponsive.load(Ordering::SeqCst) {
+            Timer::after(UNRESPONSIVE_TIME).await;
             return None;
         }
         if call
@@ -341,12 +344,12 @@
             answer.insert_header("x-turnford-instance-id", self.id.as_str());
             return Some(answer);
         }
-        let rest = self.words.note_arrival(&call);
-        let mut answer = match rest {
-            Some(rest) => turned_away_for(&rest),
+        let backoff = self.signals.record_arrival(&call);
+        let mut answer = match backoff {
+            Some(backoff) => rejection_with_backoff(&backoff),
             None => self.answer(&call).await?,
         };
-        self.words.add_to(&mut answer);
+        self.signals.add_headers(&mut answer);
         Some(answer)
     }
 
@@ -355,7 +358,7 @@
             "/health" => Some(self.health()),
             "/v1/report" => {
                 let report = json!({ "waiting_requests": 0, "busy": 0, "free_memory_mb": 100 });
-                Some(json_answer(StatusCode::OK, &report))
+                Some(json_response(StatusCode::OK, &report))
             }
             "/v1/stage-free" => Some(self.release(call)),
             "/v1/stage-run" => self.run_pieces(call).await,
@@ -364,7 +367,7 @@
     }
 
     fn health(&self) -> HttpResponse {
-        let status = if self.words.leaves() {
+        let status = if self.signals.is_leaving() {
             StatusCode::SERVICE_UNAVAILABLE
         } else {
             StatusCode::OK
@@ -401,18 +404,18 @@
             .unwrap_or("")
             .to_owned();
         let fault = self.next_fault();
-        if let Some(answer) = fault.as_ref().and_then(refusal) {
+        if let Some(answer) = fault.as_ref().and_then(rejection_for) {
             if matches!(fault, Some(TargetFault::Backoff(_))) {
-                Timer::after(REFUSAL_SPAN).await;
+                Timer::after(REJECTION_DELAY).await;
             }
             return Some(answer);
         }
-        let crashes = self.crashes_under(call);
+        let crashes = self.crashes_on(call);
         let run = RouteRun {
             is_faulted: fault.is_some() || crashes,
             ..self.run(call, attempt.clone(), RunKind::Request)
         };
-        let place = self.journal.add(run);
+        let index = self.journal.add(run);
         if crashes {
             self.crash_soon();
             return self.unfinished_answer(&attempt).await;
@@ -428,7 +431,7 @@
             } => {
                 Timer::after(first_event).await;
                 self.event_answer(
-                    place,
+                    index,
                     event_gap,
                     events,
                     fault == Some(TargetFault::Truncate),
@@ -436,7 +439,7 @@
             }
             TargetRole::Plain(span) => {
                 Timer::after(span).await;
-                self.journal.end(place);
+                self.journal.record_end(index);
                 plain_answer(&attempt, fault.as_ref())
             }
             TargetRole::Stage { .. } => HttpResponse::new(StatusCode::NOT_FOUND),
@@ -444,7 +447,7 @@
         if fault == Some(TargetFault::Disconnect) {
             return None;
         }
-        let told = if fault == Some(TargetFault::AttemptMismatch) {
+        let response_attempt = if fault == Some(TargetFault::AttemptMismatch) {
             "ffffffffffffffff"
         } else {
             attempt.as_str()
@@ -452,15 +455,15 @@
         if fault == Some(TargetFault::InvalidLoad) {
             answer.insert_header("x-turnford-server-load", "much");
         }
-        answer.insert_header("x-turnford-attempt-id", told);
+        answer.insert_header("x-turnford-attempt-id", response_attempt);
         answer.insert_header("x-turnford-server-stamp", format!("stamp-{attempt}"));
         Some(answer)
     }
 
-    /// Begins the answer of a request under which the target crashes: an engine sends the head.
+    /// Starts the response to a request that crashes the target: an engine sends the headers only.
     async fn unfinished_answer(&self, attempt: &str) -> Option<HttpResponse> {
         let TargetRole::Engine { first_event, .. } = self.role else {
-            Timer::after(SILENCE).await;
+            Timer::after(UNRESPONSIVE_TIME).await;
             return None;
         };
         Timer::after(first_event).await;
@@ -474,17 +477,17 @@
 
     fn event_answer(
         &self,
-        place: usize,
+        index: usize,
         pause: Duration,
         count: u64,
-        is_cut: bool,
+        is_truncated: bool,
     ) -> HttpResponse {
         let journal = self.journal.clone();
         let events = stream::unfold(1, move |number| {
             let journal = journal.clone();
             async move {
                 if number > count {
-                    journal.end(place);
+                    journal.record_end(index);
                     return None;
                 }
                 if number > 1 {
@@ -496,7 +499,7 @@
         });
         let mut answer = HttpResponse::new(StatusCode::OK);
         answer.insert_header("content-type", "text/event-stream");
-        if is_cut {
+        if is_truncated {
             answer.set_body(HttpBody::truncated("id: 1\ndata: token 1\n\nid: 2\nda"));
         } else {
             answer.set_body(HttpBody::stream(events));
@@ -505,7 +508,7 @@
     }
 }
 
-/// Returns the time of day in milliseconds.
+/// Returns the time in milliseconds since the Unix epoch.
 fn time_of_day() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.map_or(0, |since| since.as_millis());
@@ -531,22 +534,22 @@
     answer
 }
 
-/// Returns the answer to a call that a fault has turned away, `None` for other faults.
-pub(super) fn refusal(fault: &TargetFault) -> Option<HttpResponse> {
+/// Returns the response to a call that a fault rejects, `None` for other faults.
+pub(super) fn rejection_for(fault: &TargetFault) -> Option<HttpResponse> {
     match fault {
-        TargetFault::Reject => Some(turned_away()),
-        TargetFault::Backoff(rest) => Some(turned_away_for(rest)),
+        TargetFault::Reject => Some(rejection()),
+        TargetFault::Backoff(backoff) => Some(rejection_with_backoff(backoff)),
         _ => None,
     }
 }
 
-fn turned_away_for(rest: &str) -> HttpResponse {
-    let mut answer = turned_away();
-    answer.insert_header("retry-after", rest);
+fn rejection_with_backoff(backoff: &str) -> HttpResponse {
+    let mut answer = rejection();
+    answer.insert_header("retry-after", backoff);
     answer
 }
 
-fn turned_away() -> HttpResponse {
+fn rejection() -> HttpResponse {
     let mut answer = HttpResponse::new(StatusCode::SERVICE_UNAVAILABLE);
     answer.insert_header("x-turnford-not-run", "1");
     answer
