--- a/packages/turnford-standin/src/audit.rs
+++ b/packages/turnford-standin/src/audit.rs
@@ -1,4 +1,4 @@
-//! Checks answers against the targets' journal.
+//! Checks responses against the targets' journal.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -8,29 +8,29 @@
 use crate::load::RequestRecord;
 use crate::JournalEntry;
 
-/// Broken promises, all of which must be zero.
+/// Numbers of violations, all of which must be zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct AuditCounts {
-    /// Requests that got no end at all, neither an answer nor a closed connection.
+    /// Requests that never ended, neither with a response nor with a closed connection.
     pub lost: u64,
-    /// Requests whose connection closed without an answer, as those of a killed node do.
+    /// Requests whose connection closed without a response, for example because the node was killed.
     pub unanswered: u64,
-    /// Requests for which a once-only service ran more than once.
+    /// Requests for which a non-repeatable service ran more than once.
     pub doubled: u64,
-    /// Whole answers that belong to another request.
+    /// Complete responses that belong to another request.
     pub crossed: u64,
-    /// Refusals that say "not run" although a target started.
+    /// Refusals that say "not run" although a target started to run the request.
     pub false_not_run: u64,
 }
 
 impl AuditCounts {
-    /// Tells whether every promise held.
+    /// Returns whether there were no violations.
     pub fn is_clean(&self) -> bool {
         *self == AuditCounts::default()
     }
 }
 
-/// Counts broken promises over all requests of a run.
+/// Counts the violations over all requests of a run; `once` names the non-repeatable services.
 pub(crate) fn audit_run(
     records: &[RequestRecord],
     sent: u64,
@@ -54,7 +54,7 @@
     for record in records {
         let started = starts.contains_key(record.mark.as_str());
         counts.unanswered += u64::from(record.code.is_none());
-        counts.crossed += u64::from(record.whole && !record.own);
+        counts.crossed += u64::from(record.is_complete && !record.is_own);
         counts.false_not_run += u64::from(record.ran == "no" && started);
     }
     counts
--- a/packages/turnford-standin/src/balancer.rs
+++ b/packages/turnford-standin/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The platform's balancer, as far as the load tool needs it: it sends to nodes that are ready, and
-//! to another one where no connection can be made.
+//! Stand-in for the platform's load balancer: prefers ready nodes, and tries another node if a
+//! connection can't be established.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
@@ -14,27 +14,27 @@
 
 use crate::SharedExecutor;
 
-/// Pause between looks at each node.
-const CHECK_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between readiness checks of a node.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest wait for a node's word.
-const CHECK_LIMIT: Duration = Duration::from_millis(500);
+/// Time-out of a readiness check.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Nodes in turn, those that are ready first.
+/// Round-robin selection of nodes, ready ones first.
 pub(crate) struct LoadBalancer {
     nodes: Vec<(SocketAddr, AtomicBool)>,
-    turn: AtomicUsize,
+    next: AtomicUsize,
 }
 
 impl LoadBalancer {
-    /// Starts with all nodes taken for ready, and keeps asking them.
+    /// Starts with all nodes assumed ready, and checks their readiness periodically.
     pub(crate) fn start(nodes: &[SocketAddr], executor: &SharedExecutor) -> Arc<Self> {
         let nodes = nodes
             .iter()
             .map(|node| (*node, AtomicBool::new(true)))
             .collect();
-        let turn = AtomicUsize::new(0);
-        let balancer = Arc::new(Self { nodes, turn });
+        let next = AtomicUsize::new(0);
+        let balancer = Arc::new(Self { nodes, next });
         for number in 0..balancer.nodes.len() {
             let checked = Arc::downgrade(&balancer);
             let check = async move {
@@ -42,7 +42,7 @@
                 while let Some(balancer) = checked.upgrade() {
                     balancer.check(number, &client).await;
                     drop(balancer);
-                    Timer::after(CHECK_PAUSE).await;
+                    Timer::after(CHECK_INTERVAL).await;
                 }
             };
             executor.spawn(check).detach();
@@ -53,10 +53,10 @@
     /// Returns the nodes in the order in which a request should try them.
     pub(crate) fn order(&self) -> Vec<SocketAddr> {
         let count = self.nodes.len();
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let turned = (0..count).map(|step| &self.nodes[(turn + step) % count]);
+        let next = self.next.fetch_add(1, Ordering::Relaxed);
+        let rotated = (0..count).map(|step| &self.nodes[(next + step) % count]);
         let (ready, others): (Vec<_>, Vec<_>) =
-            turned.partition(|(_, ready)| ready.load(Ordering::Relaxed));
+            rotated.partition(|(_, ready)| ready.load(Ordering::Relaxed));
         ready
             .into_iter()
             .chain(others)
@@ -67,7 +67,7 @@
     async fn check(&self, number: usize, client: &HttpClient) {
         let (node, ready) = &self.nodes[number];
         let answer = match HttpClient::request(Method::GET, *node, "/readyz") {
-            Ok(request) => client.send(*node, request, CHECK_LIMIT).await,
+            Ok(request) => client.send(*node, request, CHECK_TIMEOUT).await,
             Err(fault) => Err(fault),
         };
         ready.store(
--- a/packages/turnford-standin/src/control.rs
+++ b/packages/turnford-standin/src/control.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' control port: the VM list, the weight store, the journal and faults by hand.
+//! The stand-ins' control port: the VM list, the weight store, the journal and fault injection.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use crate::FaultTable;
 use crate::Journal;
 
-/// Loads of weights that the store lets begin in one second.
+/// Weight loads per second that the weight store admits.
 const LOADS_PER_SECOND: f64 = 2.0;
 
-/// Shared state of the control port.
+/// State of the control port.
 pub(crate) struct ControlService {
     entries: Vec<VmEntry>,
     lag: Duration,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Answers one call.
+    /// Handles a call.
     pub(crate) async fn handle(&self, call: BufferedRequest) -> Option<HttpResponse> {
         match (call.method.as_str(), call.path.as_str()) {
             ("GET", "/vms") => Some(json_response(&self.list())),
@@ -57,9 +57,10 @@
         }
     }
 
-    /// Returns the list as it was some time ago: without VMs that were dead, with leaving ones.
+    /// Returns the VM list delayed by the lag: without VMs that were dead then, and with those that were
+    /// leaving marked as such.
     fn list(&self) -> Vec<VmEntry> {
-        let then = self.faults.elapsed().saturating_sub(self.lag);
+        let listed_at = self.faults.elapsed().saturating_sub(self.lag);
         let mut list = Vec::new();
         for entry in &self.entries {
             let places = [
@@ -69,7 +70,7 @@
             ];
             if self
                 .faults
-                .active_at(FaultKind::Die, &places, then)
+                .active_at(FaultKind::Die, &places, listed_at)
                 .is_some()
             {
                 continue;
@@ -77,7 +78,7 @@
             let mut entry = entry.clone();
             if self
                 .faults
-                .active_at(FaultKind::Leave, &places, then)
+                .active_at(FaultKind::Leave, &places, listed_at)
                 .is_some()
             {
                 entry.state = VmState::Leaving;
@@ -91,9 +92,9 @@
         let parsed: Result<FaultSpec, _> = serde_json::from_slice(&call.body);
         match parsed {
             Ok(fault) => {
-                let span = Duration::from_millis(fault.for_ms);
+                let duration = Duration::from_millis(fault.for_ms);
                 self.faults
-                    .add_now(fault.kind, &fault.at, span, fault.factor);
+                    .add_now(fault.kind, &fault.at, duration, fault.factor);
                 HttpResponse::new(StatusCode::NO_CONTENT)
             }
             Err(error) => {
--- a/packages/turnford-standin/src/fault.rs
+++ b/packages/turnford-standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults by time.
+//! Injected faults and their times.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What goes wrong.
+/// Kind of an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
@@ -18,35 +18,35 @@
     Error,
     /// Calls fail at once.
     FastError,
-    /// Calls never end.
+    /// Calls never return.
     Hang,
-    /// Connections break without an answer.
+    /// Connections close without a response.
     Die,
     /// The target refuses new calls and is listed as leaving.
     Leave,
-    /// Answers carry the id of another attempt.
+    /// Responses carry the id of another attempt.
     Swap,
-    /// Answers are cut short.
+    /// Responses are truncated.
     Truncate,
-    /// The object API refuses all calls.
+    /// The object API rejects all calls.
     Outage,
-    /// The object API loses the answers of writes that took effect.
+    /// The object API drops the responses to writes that took effect.
     LoseAnswers,
 }
 
-/// One fault.
+/// An injected fault.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Begin, in milliseconds after the stand-ins' start.
+    /// Begin, in milliseconds after the start of the stand-ins.
     pub at_ms: u64,
-    /// Span in milliseconds.
+    /// Duration in milliseconds.
     pub for_ms: u64,
-    /// Target, service or hall; `platform` for the object API.
+    /// Affected target, service or hall; `platform` for the object API.
     pub at: String,
-    /// Factor of a slowness, or part of the calls that are hit (all by default).
+    /// Factor on the time of calls, or ratio of the affected calls (all by default).
     #[serde(default = "default_factor")]
     pub factor: f64,
 }
@@ -55,14 +55,14 @@
     1.0
 }
 
-/// All faults of one run; more can be added while it runs.
+/// All faults of one run; faults can be added during the run.
 pub struct FaultTable {
     start: Instant,
     faults: Mutex<Vec<FaultSpec>>,
 }
 
 impl FaultTable {
-    /// Starts the table's time now.
+    /// Creates a table whose time starts now.
     pub fn new(faults: Vec<FaultSpec>) -> Self {
         Self {
             start: Instant::now(),
@@ -76,29 +76,29 @@
     }
 
     /// Adds a fault that begins now.
-    pub fn add_now(&self, kind: FaultKind, at: &str, span: Duration, factor: f64) {
+    pub fn add_now(&self, kind: FaultKind, at: &str, duration: Duration, factor: f64) {
         let fault = FaultSpec {
             kind,
             at_ms: millis(self.elapsed()),
-            for_ms: millis(span),
+            for_ms: millis(duration),
             at: at.to_owned(),
             factor,
         };
         self.list().push(fault);
     }
 
-    /// Returns the factor of a fault that holds at any of the places now.
+    /// Returns the factor of a fault that currently affects any of the places.
     pub fn active(&self, kind: FaultKind, places: &[&str]) -> Option<f64> {
         self.active_at(kind, places, self.elapsed())
     }
 
-    /// Returns the factor of a fault that held at any of the places at a time.
+    /// Returns the factor of a fault that affected any of the places at a time.
     pub fn active_at(&self, kind: FaultKind, places: &[&str], at: Duration) -> Option<f64> {
         let now = millis(at);
         let list = self.list();
         let mut active = list.iter().filter(|fault| {
-            let begun = now >= fault.at_ms && now < fault.at_ms.saturating_add(fault.for_ms);
-            begun && fault.kind == kind && places.contains(&fault.at.as_str())
+            let is_current = now >= fault.at_ms && now < fault.at_ms.saturating_add(fault.for_ms);
+            is_current && fault.kind == kind && places.contains(&fault.at.as_str())
         });
         active.next().map(|fault| fault.factor)
     }
@@ -108,6 +108,6 @@
     }
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/packages/turnford-standin/src/fleet.rs
+++ b/packages/turnford-standin/src/fleet.rs
@@ -25,24 +25,24 @@
 use crate::ServiceSpec;
 use crate::SharedExecutor;
 
-/// Running stand-ins.
+/// The running stand-ins of a scenario.
 pub struct StandinFleet {
     /// Address of the object API.
     pub objects: SocketAddr,
-    /// The objects, for runs in one process.
+    /// The object service, for direct use in the same process.
     pub store: Arc<ObjectService>,
-    /// Address of the VM list, the weight store, the journal and the faults.
+    /// Address of the control port: VM list, weight store, journal and faults.
     pub control: SocketAddr,
-    /// Faults, for runs in one process.
+    /// Faults, for direct use in the same process.
     pub faults: Arc<FaultTable>,
-    /// Journal, for runs in one process.
+    /// Journal, for direct use in the same process.
     pub journal: Arc<Journal>,
-    /// Targets as the list has them.
+    /// Targets, as in the VM list.
     pub entries: Vec<VmEntry>,
 }
 
 impl StandinFleet {
-    /// Starts the stand-ins; ports of 0 let the system choose.
+    /// Starts the stand-ins; for port 0 the system chooses a port.
     ///
     /// # Errors
     ///
--- a/packages/turnford-standin/src/journal.rs
+++ b/packages/turnford-standin/src/journal.rs
@@ -1,4 +1,4 @@
-//! What targets really ran.
+//! Journal of the calls that targets ran.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -6,26 +6,26 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One start of one call.
+/// A call that a target started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JournalEntry {
-    /// Target that ran it.
+    /// Target that ran the call.
     pub target: String,
     /// Service of the target.
     pub service: String,
-    /// Attempt id as the call carried it.
+    /// Attempt id of the call.
     pub attempt: String,
-    /// Mark that the load tool put into the input.
+    /// Marker that the load tool put into the input.
     pub mark: String,
-    /// Seconds of a slot that the call took.
+    /// Time for which the call occupied a slot, in seconds.
     pub seconds: f64,
-    /// What those seconds cost.
+    /// Cost of that time.
     pub cost: f64,
-    /// Whether the call ended whole.
+    /// Whether the call completed.
     pub whole: bool,
 }
 
-/// Entries of all targets, in the order of their ends.
+/// Entries of all targets, in the order in which the calls ended.
 #[derive(Default)]
 pub struct Journal {
     entries: Mutex<Vec<JournalEntry>>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Returns the mark inside an input or output: `mark:` and the letters, digits and dashes after it.
+/// Returns the marker in an input or output: `mark:` followed by letters, digits and dashes.
 pub(crate) fn mark_of(text: &str) -> &str {
     const LABEL: &str = "mark:";
     let Some(at) = text.find(LABEL) else {
--- a/packages/turnford-standin/src/lib.rs
+++ b/packages/turnford-standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the outside systems, and the tool that loads a fleet and audits its answers.
+//! Stand-ins for the external systems, and the tool that loads a fleet and audits its responses.
 //!
-//! All of it serves on loopback only. What a target really ran stands in its journal, against which
-//! the load tool counts lost, doubled and crossed results.
+//! All stand-ins listen on loopback only. Targets record what they ran in a journal; the load tool
+//! compares the responses with it to count lost, doubled and crossed results.
 
 mod audit;
 mod balancer;
@@ -61,10 +61,10 @@
 
 use async_executor::Executor;
 
-/// Executor that all stand-ins of a process share.
+/// Executor shared by all stand-ins of a process.
 pub type SharedExecutor = Arc<Executor<'static>>;
 
-/// Runs an executor on some threads for the rest of the process.
+/// Starts an executor on `count` threads that run until the process exits.
 pub fn start_threads(name: &str, count: usize) -> SharedExecutor {
     let executor: SharedExecutor = Arc::new(Executor::new());
     for number in 0..count {
--- a/packages/turnford-standin/src/load.rs
+++ b/packages/turnford-standin/src/load.rs
@@ -1,4 +1,4 @@
-//! An open-loop load tool: requests start when they are due, whether others ended or not.
+//! An open-loop load generator: requests start when they are due, regardless of the ends of others.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -30,54 +30,54 @@
 use crate::Scenario;
 use crate::SharedExecutor;
 
-/// Time after a request's deadline at which the tool stops waiting for its end.
-const ANSWER_GRACE: Duration = Duration::from_secs(10);
+/// Time after a request's deadline until the tool stops waiting for its response.
+const RESPONSE_GRACE: Duration = Duration::from_secs(10);
 
-/// Characters of filler for one token of input.
+/// Filler for one token of input.
 const TOKEN_FILLER: &str = "abc ";
 
-/// What to load, and how much.
+/// Settings of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Entry addresses of the nodes, used in turn as a balancer does.
+    /// Client-facing addresses of the nodes, selected round-robin as a load balancer does.
     pub nodes: Vec<SocketAddr>,
-    /// Control port of the stand-ins, for the journal.
+    /// Control port of the stand-ins, from which the journal is read.
     pub control: SocketAddr,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests are started.
-    pub span: Duration,
-    /// Deadline sent with each request; `None` leaves it to the template.
+    /// Time over which requests are started.
+    pub duration: Duration,
+    /// Deadline sent with each request; `None` uses that of the template.
     pub deadline: Option<Duration>,
     /// Seed of arrivals and inputs.
     pub seed: u64,
-    /// Begin and span of a burst in which inputs are `burst_factor` times as long.
+    /// Begin and duration of a burst in which inputs are `burst_factor` times as long.
     pub burst: Option<(Duration, Duration)>,
-    /// Factor of the burst's inputs.
+    /// Factor on the input lengths in a burst.
     pub burst_factor: f64,
-    /// Whether progress is shown on standard error.
+    /// Whether to show progress on standard error.
     pub progress: bool,
 }
 
-/// What is known of one request.
+/// Record of a request that ended.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     pub(crate) account: String,
     pub(crate) mark: String,
-    /// Result code; `None` if no end came at all.
+    /// Result code; `None` if there was no valid response.
     pub(crate) code: Option<u16>,
     pub(crate) ran: String,
-    pub(crate) whole: bool,
-    /// Whether a whole answer carries the request's own mark.
-    pub(crate) own: bool,
+    pub(crate) is_complete: bool,
+    /// Whether the response carries the request's own marker.
+    pub(crate) is_own: bool,
     pub(crate) latency: Duration,
     pub(crate) first_token: Option<Duration>,
     pub(crate) started: Duration,
 }
 
-/// Part of an answer's body that the tool reads.
+/// Fields of a response body that the tool reads.
 #[derive(Deserialize)]
-struct AnswerBody {
+struct ResponseBody {
     code: u16,
     #[serde(default)]
     ran: String,
@@ -85,7 +85,7 @@
     output: String,
 }
 
-/// One request before it is sent.
+/// A request before it is sent.
 struct RequestPlan {
     traffic: TrafficSpec,
     mark: String,
@@ -99,7 +99,7 @@
 ///
 /// # Errors
 ///
-/// Returns a message if there is nothing to load or the journal can't be read.
+/// Returns a message if nodes, traffic or rate are missing, or the journal can't be read.
 pub async fn run_load(
     scenario: &Scenario,
     settings: &LoadSettings,
@@ -112,7 +112,7 @@
     let records = Arc::new(Mutex::new(Vec::new()));
     let ended = Arc::new(AtomicU64::new(0));
     let sent = start_requests(scenario, settings, executor, &client, &records, &ended).await;
-    wait_ends(sent, &ended, settings).await;
+    wait_for_requests(sent, &ended, settings).await;
     let journal = read_journal(&client, settings.control).await?;
     let records = records
         .lock()
@@ -138,14 +138,14 @@
 ) -> u64 {
     let balancer = LoadBalancer::start(&settings.nodes, executor);
     let mut rng = SmallRng::seed_from_u64(settings.seed);
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let mut due = Duration::ZERO;
     let mut sent = 0;
-    while due < settings.span {
+    while due < settings.duration {
         let gap: f64 = rng.random_range(f64::EPSILON..1.0);
         due += Duration::from_secs_f64(-gap.ln() / settings.rate);
-        Timer::at(begin + due).await;
-        let plan = plan_request(scenario, settings, &mut rng, sent, begin + due, due);
+        Timer::at(started_at + due).await;
+        let plan = plan_request(scenario, settings, &mut rng, sent, started_at + due, due);
         let (client, balancer) = (client.clone(), balancer.clone());
         let records = records.clone();
         let ended = ended.clone();
@@ -164,10 +164,10 @@
     sent
 }
 
-async fn wait_ends(sent: u64, ended: &AtomicU64, settings: &LoadSettings) {
-    let longest = settings.deadline.unwrap_or(ANSWER_GRACE) + ANSWER_GRACE;
-    let begin = Instant::now();
-    while ended.load(Ordering::SeqCst) < sent && begin.elapsed() < longest {
+async fn wait_for_requests(sent: u64, ended: &AtomicU64, settings: &LoadSettings) {
+    let longest = settings.deadline.unwrap_or(RESPONSE_GRACE) + RESPONSE_GRACE;
+    let started_at = Instant::now();
+    while ended.load(Ordering::SeqCst) < sent && started_at.elapsed() < longest {
         Timer::after(Duration::from_millis(20)).await;
     }
     if settings.progress {
@@ -180,7 +180,7 @@
         let seconds = due.as_secs_f64();
         eprint!(
             "\r{sent} requests, {seconds:.1} s of {:.0} s",
-            settings.span.as_secs_f64()
+            settings.duration.as_secs_f64()
         );
     }
 }
@@ -196,16 +196,16 @@
     let traffic = pick_traffic(&scenario.traffic, rng).clone();
     let in_burst = settings
         .burst
-        .is_some_and(|(begin, span)| started >= begin && started < begin + span);
+        .is_some_and(|(begin, length)| started >= begin && started < begin + length);
     let factor = if in_burst { settings.burst_factor } else { 1.0 };
     let spread: f64 = rng.random_range(0.5..1.5);
     let tokens = (f64::from(traffic.tokens) * spread * factor).max(8.0) as usize;
     let mark = format!("mark:{}-{number}", settings.seed);
-    // Inputs of one account share their beginning, as conversations do.
+    // Inputs of one account share prefixes, as conversations do.
     let topic = rng.random_range(0..8);
-    let opening = format!("{} topic {topic} ", traffic.account);
-    let opening = format!("{opening:-<64}");
-    let input = format!("{opening} {mark} {}", TOKEN_FILLER.repeat(tokens));
+    let prefix = format!("{} topic {topic} ", traffic.account);
+    let prefix = format!("{prefix:-<64}");
+    let input = format!("{prefix} {mark} {}", TOKEN_FILLER.repeat(tokens));
     let deadline = settings.deadline;
     RequestPlan {
         traffic,
@@ -239,8 +239,8 @@
         mark: plan.mark.clone(),
         code: None,
         ran: String::new(),
-        whole: false,
-        own: false,
+        is_complete: false,
+        is_own: false,
         latency: Duration::ZERO,
         first_token: None,
         started: plan.started,
@@ -248,7 +248,7 @@
     let mut answer = Err(HttpError::NotConnected);
     for node in balancer.order() {
         answer = exchange(client, node, &plan, &mut record).await;
-        // Only a call that was surely not sent goes to another node.
+        // Only a request that was certainly not sent may be sent to another node.
         if !matches!(answer, Err(HttpError::NotConnected)) {
             break;
         }
@@ -256,8 +256,8 @@
     record.latency = plan.due.elapsed();
     if let Ok(body) = answer {
         record.code = Some(body.code);
-        record.whole = body.code < 100;
-        record.own = mark_of(&body.output) == plan.mark;
+        record.is_complete = body.code < 100;
+        record.is_own = mark_of(&body.output) == plan.mark;
         record.ran = body.ran;
     }
     record
@@ -268,7 +268,7 @@
     node: SocketAddr,
     plan: &RequestPlan,
     record: &mut RequestRecord,
-) -> Result<AnswerBody, HttpError> {
+) -> Result<ResponseBody, HttpError> {
     let path = format!("/v1/pipelines/{}", plan.traffic.template);
     let mut request = HttpClient::request(Method::POST, node, &path)?;
     request.insert_header(
@@ -282,25 +282,25 @@
         request.insert_header("turnford-deadline-ms", deadline.as_millis().to_string());
     }
     request.set_body(plan.input.as_str());
-    let limit = plan.deadline.unwrap_or(ANSWER_GRACE) + ANSWER_GRACE;
+    let timeout = plan.deadline.unwrap_or(RESPONSE_GRACE) + RESPONSE_GRACE;
     if plan.traffic.stream {
         request.insert_header("accept", "text/event-stream");
-        return read_events(client, node, plan, request, limit, record).await;
+        return read_events(client, node, plan, request, timeout, record).await;
     }
-    let answer = client.send(node, request, limit).await?;
+    let answer = client.send(node, request, timeout).await?;
     serde_json::from_slice(&answer.body).map_err(|_| HttpError::Disconnected)
 }
 
-/// Reads server-sent events until the last one, which carries the code.
+/// Reads server-sent events up to the last one, which carries the result code.
 async fn read_events(
     client: &HttpClient,
     node: SocketAddr,
     plan: &RequestPlan,
     request: HttpRequest,
-    limit: Duration,
+    timeout: Duration,
     record: &mut RequestRecord,
-) -> Result<AnswerBody, HttpError> {
-    let mut stream = client.open(node, request, limit).await?;
+) -> Result<ResponseBody, HttpError> {
+    let mut stream = client.open(node, request, timeout).await?;
     if stream.status != 200 {
         let body = stream.read_body().await?;
         return serde_json::from_slice(&body).map_err(|_| HttpError::Disconnected);
@@ -317,7 +317,7 @@
             text.push_str(token);
             continue;
         }
-        let mut body: AnswerBody =
+        let mut body: ResponseBody =
             serde_json::from_str(data).map_err(|_| HttpError::Disconnected)?;
         body.output = text;
         return Ok(body);
@@ -332,8 +332,8 @@
     let mut request = HttpClient::request(Method::GET, control, "/journal")
         .map_err(|fault| format!("journal: {fault}"))?;
     request.insert_header("connection", "close");
-    let limit = Duration::from_secs(30);
-    let answer = client.send_large(control, request, limit).await;
+    let timeout = Duration::from_secs(30);
+    let answer = client.send_large(control, request, timeout).await;
     let answer = answer.map_err(|fault| format!("journal: {fault}"))?;
     serde_json::from_slice(&answer.body).map_err(|error| format!("journal: {error}"))
 }
--- a/packages/turnford-standin/src/models.rs
+++ b/packages/turnford-standin/src/models.rs
@@ -1,11 +1,11 @@
-//! The models and adapters of one target, and the orders that change them.
+//! The models and adapters of one target, and the load and unload orders for them.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use serde::Deserialize;
 
-/// An order as it comes in.
+/// Body of an order.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct OrderBody {
     pub(crate) token: u64,
@@ -13,64 +13,69 @@
     pub(crate) model: String,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderResult {
-    Taken,
-    /// The token is older than one seen before.
+    Accepted,
+    /// The token is lower than one seen before.
     Stale,
-    /// There is no room, or the order is not understood.
-    Refused,
+    /// The target is at capacity, or the kind of the order is unknown.
+    Rejected,
 }
 
-/// Models present or on their way.
+/// Models that are present or being loaded.
 #[derive(Debug)]
-pub(crate) struct ModelShelf {
+pub(crate) struct ModelTable {
     models: Vec<(String, Instant)>,
-    room: usize,
+    capacity: usize,
     load_time: Duration,
-    checks: bool,
-    highest: u64,
+    checks_tokens: bool,
+    highest_token: u64,
 }
 
-impl ModelShelf {
-    pub(crate) fn new(models: &[String], room: usize, load_time: Duration, checks: bool) -> Self {
+impl ModelTable {
+    pub(crate) fn new(
+        models: &[String],
+        capacity: usize,
+        load_time: Duration,
+        checks_tokens: bool,
+    ) -> Self {
         let now = Instant::now();
         Self {
             models: models.iter().map(|model| (model.clone(), now)).collect(),
-            room,
+            capacity,
             load_time,
-            checks,
-            highest: 0,
+            checks_tokens,
+            highest_token: 0,
         }
     }
 
-    /// Returns the models that can serve now.
+    /// Returns the models that have been loaded.
     pub(crate) fn present(&self) -> Vec<String> {
         let now = Instant::now();
         let ready = self.models.iter().filter(|(_, ready)| *ready <= now);
         ready.map(|(model, _)| model.clone()).collect()
     }
 
-    /// Takes an order. One that is done already is taken again without effect.
+    /// Applies an order. An order that has been applied already is accepted without effect.
     pub(crate) fn apply(&mut self, order: &OrderBody) -> OrderResult {
-        if self.checks && order.token < self.highest {
+        if self.checks_tokens && order.token < self.highest_token {
             return OrderResult::Stale;
         }
-        self.highest = self.highest.max(order.token);
+        self.highest_token = self.highest_token.max(order.token);
         let held = self.models.iter().any(|(model, _)| *model == order.model);
         match order.kind.as_str() {
-            "load" if held => OrderResult::Taken,
-            "load" if self.models.len() < self.room => {
+            "load" if held => OrderResult::Accepted,
+            "load" if self.models.len() < self.capacity => {
                 let ready = Instant::now() + self.load_time;
                 self.models.push((order.model.clone(), ready));
-                OrderResult::Taken
+                OrderResult::Accepted
             }
             "unload" => {
                 self.models.retain(|(model, _)| *model != order.model);
-                OrderResult::Taken
+                OrderResult::Accepted
             }
-            _ => OrderResult::Refused,
+            _ => OrderResult::Rejected,
         }
     }
 }
--- a/packages/turnford-standin/src/objects.rs
+++ b/packages/turnford-standin/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object API's stand-in.
+//! Stand-in for the object API.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,22 +19,22 @@
 use crate::ObjectStore;
 use crate::StoreError;
 
-/// Name of the platform in fault tables.
+/// Name of the platform in a [`FaultTable`].
 const PLATFORM: &str = "platform";
 
-/// Longest wait of a watch.
-const LONGEST_WATCH_MS: u64 = 60_000;
+/// Maximum wait of a watch, in milliseconds.
+const MAX_WATCH_MS: u64 = 60_000;
 
-/// Pause between a watch's looks when no word of a change comes.
-const WATCH_PAUSE: Duration = Duration::from_secs(1);
+/// Interval at which a watch checks for changes if it isn't notified of one.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shared state of the object API.
+/// State of the object API.
 pub struct ObjectService {
     store: Mutex<ObjectStore>,
-    /// When the store last came back from a copy.
+    /// Time of the last restore from a snapshot.
     restored_at: Mutex<Option<Instant>>,
     faults: Arc<FaultTable>,
-    watches: Mutex<Vec<async_channel::Sender<()>>>,
+    watchers: Mutex<Vec<async_channel::Sender<()>>>,
 }
 
 impl ObjectService {
@@ -43,18 +43,18 @@
             store: Mutex::new(ObjectStore::default()),
             restored_at: Mutex::new(None),
             faults,
-            watches: Mutex::new(Vec::new()),
+            watchers: Mutex::new(Vec::new()),
         }
     }
 
-    /// Returns a copy of what is stored.
+    /// Returns a snapshot of the store.
     pub fn snapshot(&self) -> ObjectStore {
         self.store().clone()
     }
 
-    /// Comes back from a copy: what was written since is gone, and versions are given out again.
-    pub fn restore(&self, copy: ObjectStore) {
-        *self.store() = copy;
+    /// Restores the store from a snapshot: later writes are lost, and their versions are assigned again.
+    pub fn restore(&self, snapshot: ObjectStore) {
+        *self.store() = snapshot;
         let mut restored_at = self
             .restored_at
             .lock()
@@ -73,7 +73,7 @@
         )
     }
 
-    /// Answers one call.
+    /// Handles a call; `None` closes the connection without a response.
     pub(crate) async fn handle(&self, call: BufferedRequest) -> Option<HttpResponse> {
         if self.faults.active(FaultKind::Outage, &[PLATFORM]).is_some() {
             return Some(HttpResponse::new(StatusCode::SERVICE_UNAVAILABLE));
@@ -120,7 +120,7 @@
         response
     }
 
-    /// Writes, and loses the answer afterwards where a fault says so.
+    /// Applies a write; drops its response afterwards if a fault requires that.
     fn write(
         &self,
         call: &BufferedRequest,
@@ -129,10 +129,10 @@
         let expected = call.header("if-version").and_then(|text| text.parse().ok());
         let result = change(&mut self.store(), expected);
         if result.is_ok() {
-            self.wake_watches();
+            self.notify_watchers();
         }
-        if let Some(part) = self.faults.active(FaultKind::LoseAnswers, &[PLATFORM]) {
-            if self.is_hit(part) {
+        if let Some(ratio) = self.faults.active(FaultKind::LoseAnswers, &[PLATFORM]) {
+            if self.is_affected(ratio) {
                 return None;
             }
         }
@@ -150,49 +150,49 @@
     async fn watch(&self, call: &BufferedRequest) -> HttpResponse {
         let prefix = call.query("prefix").unwrap_or("").to_owned();
         let after = call.query_number("after", 0);
-        let wait_ms = call.query_number("wait_ms", 0).min(LONGEST_WATCH_MS);
-        let ends_at = Instant::now() + Duration::from_millis(wait_ms);
+        let wait_ms = call.query_number("wait_ms", 0).min(MAX_WATCH_MS);
+        let deadline = Instant::now() + Duration::from_millis(wait_ms);
         loop {
-            let word = self.register_watch();
+            let changed = self.register_watcher();
             let found = self.store().changes(&prefix, after);
             let list = match found {
                 Ok(list) => list,
                 Err(_) => return HttpResponse::new(StatusCode::GONE),
             };
-            let left = ends_at.saturating_duration_since(Instant::now());
-            if !list.objects.is_empty() || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !list.objects.is_empty() || remaining.is_zero() {
                 return json(&list);
             }
-            let pause = left.min(WATCH_PAUSE);
+            let pause = remaining.min(WATCH_POLL_INTERVAL);
             let timer = async {
                 Timer::after(pause).await;
             };
             let change = async {
-                let _ = word.recv().await;
+                let _ = changed.recv().await;
             };
             change.or(timer).await;
         }
     }
 
-    fn register_watch(&self) -> async_channel::Receiver<()> {
+    fn register_watcher(&self) -> async_channel::Receiver<()> {
         let (sender, receiver) = async_channel::bounded(1);
-        let mut watches = self.watches.lock().unwrap_or_else(PoisonError::into_inner);
-        watches.retain(|watch| !watch.is_closed());
-        watches.push(sender);
+        let mut watchers = self.watchers.lock().unwrap_or_else(PoisonError::into_inner);
+        watchers.retain(|watch| !watch.is_closed());
+        watchers.push(sender);
         receiver
     }
 
-    fn wake_watches(&self) {
-        let mut watches = self.watches.lock().unwrap_or_else(PoisonError::into_inner);
-        for watch in watches.drain(..) {
+    fn notify_watchers(&self) {
+        let mut watchers = self.watchers.lock().unwrap_or_else(PoisonError::into_inner);
+        for watch in watchers.drain(..) {
             let _ = watch.try_send(());
         }
     }
 
-    /// Tells whether a fault on a part of the writes hits this one, by the revision's order.
-    fn is_hit(&self, part: f64) -> bool {
+    /// Returns whether a fault on a ratio of the writes affects the last one, spread evenly by revision.
+    fn is_affected(&self, ratio: f64) -> bool {
         let revision = self.store().revision() as f64;
-        (revision * part).floor() > ((revision - 1.0) * part).floor()
+        (revision * ratio).floor() > ((revision - 1.0) * ratio).floor()
     }
 
     fn store(&self) -> MutexGuard<'_, ObjectStore> {
--- a/packages/turnford-standin/src/plot.rs
+++ b/packages/turnford-standin/src/plot.rs
@@ -9,12 +9,12 @@
 /// Size of the plot in pixels.
 const SIZE: (u32, u32) = (900, 400);
 
-/// Draws started (red) and attained (blue) requests by second of their start. The frame reaches from
-/// 0 to one more than the most requests started in a second.
+/// Draws started (red) and attained (blue) requests by the second of their start. The vertical axis
+/// ranges from 0 to one above the largest number of requests started in a second.
 ///
 /// # Errors
 ///
-/// Returns the drawing library's message, for example that the file can't be written.
+/// Returns the drawing library's message, for example if the file can't be written.
 pub fn draw_report(report: &LoadReport, file: &Path) -> Result<(), String> {
     let root = SVGBackend::new(file, SIZE).into_drawing_area();
     root.fill(&WHITE).map_err(|error| error.to_string())?;
@@ -31,8 +31,8 @@
         .y_label_area_size(40)
         .build_cartesian_2d(0..seconds, 0..top + 1)
         .map_err(|error| error.to_string())?;
-    // Labels need a font on the machine, and a mesh without labels never ends its search for their
-    // places; a frame needs neither.
+    // A plain frame instead of a mesh: labels need an installed font, and the layout of a mesh without
+    // labels never terminates.
     chart
         .plotting_area()
         .draw(&Rectangle::new([(0, 0), (seconds, top + 1)], BLACK))
--- a/packages/turnford-standin/src/proxy.rs
+++ b/packages/turnford-standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that harms the connections that pass through it.
+//! A loopback TCP proxy that injects network faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,41 +19,41 @@
 
 use crate::SharedExecutor;
 
-/// Pause between looks whether a harmed link is whole again.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+/// Interval at which a disturbed link is checked for recovery.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Bytes that pass at once.
-const CHUNK: usize = 16 * 1024;
+/// Bytes forwarded at once.
+const BUFFER_SIZE: usize = 16 * 1024;
 
-/// How a link is.
+/// State of a proxied link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     Open,
-    /// Bytes pass later.
+    /// Bytes are forwarded after a delay.
     Delayed(Duration),
-    /// So many bytes a second pass in each direction, over all connections together.
+    /// Rate limit in bytes per second for each direction, over all connections together.
     Throttled(u32),
-    /// Connections are closed at once, open ones too.
+    /// New and open connections are closed at once.
     Reset,
-    /// No byte passes in either direction; what waits passes later.
+    /// No bytes are forwarded in either direction; they are forwarded when the state ends.
     Stalled,
-    /// No byte passes towards the server.
+    /// No bytes are forwarded to the server.
     StalledToServer,
-    /// No byte passes from the server.
+    /// No bytes are forwarded from the server.
     StalledFromServer,
 }
 
-/// A proxy before one server.
+/// A proxy for one server.
 #[derive(Clone)]
 pub struct LinkProxy {
-    /// Where callers connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
     state: Arc<Mutex<LinkState>>,
-    /// When the last byte that was taken will have passed, towards the server and from it.
+    /// Time at which the bytes accepted so far will have been forwarded, to and from the server.
     free_at: Arc<Mutex<[Option<Instant>; 2]>>,
-    /// How often open connections were muted.
-    mutes: Arc<AtomicU32>,
+    /// Number of calls of [`LinkProxy::blackhole_open`].
+    blackhole_count: Arc<AtomicU32>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -63,7 +63,7 @@
 }
 
 impl LinkProxy {
-    /// Starts a proxy before a server.
+    /// Starts a proxy for a server.
     ///
     /// # Errors
     ///
@@ -74,14 +74,14 @@
             address: listener.local_addr()?,
             state: Arc::new(Mutex::new(LinkState::Open)),
             free_at: Arc::default(),
-            mutes: Arc::default(),
+            blackhole_count: Arc::default(),
         };
         let accepting = proxy.clone();
         let spawner = executor.clone();
         let accept = async move {
             while let Ok((client, _)) = listener.accept().await {
                 spawner
-                    .spawn(accepting.clone().pass(client, server))
+                    .spawn(accepting.clone().serve(client, server))
                     .detach();
             }
         };
@@ -89,51 +89,57 @@
         Ok(proxy)
     }
 
-    /// Sets how the link is from now on.
+    /// Sets the state of the link.
     pub fn set(&self, state: LinkState) {
         *self.state.lock().unwrap_or_else(PoisonError::into_inner) = state;
     }
 
-    /// Has no byte pass any more on the connections that are open now; new ones work.
+    /// Discards all further bytes on the currently open connections; new connections work.
     pub fn blackhole_open(&self) {
-        self.mutes.fetch_add(1, Ordering::SeqCst);
+        self.blackhole_count.fetch_add(1, Ordering::SeqCst);
     }
 
     fn state(&self) -> LinkState {
         *self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn pass(self, client: TcpStream, server: SocketAddr) {
-        let born = self.mutes.load(Ordering::SeqCst);
+    async fn serve(self, client: TcpStream, server: SocketAddr) {
+        let generation = self.blackhole_count.load(Ordering::SeqCst);
         let Ok(server) = TcpStream::connect(server).await else {
             return;
         };
-        let to = self.pump(client.clone(), server.clone(), Direction::To, born);
-        let from = self.pump(server, client, Direction::From, born);
+        let to = self.forward(client.clone(), server.clone(), Direction::To, generation);
+        let from = self.forward(server, client, Direction::From, generation);
         let broken = async {
             while self.state() != LinkState::Reset {
-                Timer::after(LOOK_PAUSE).await;
+                Timer::after(POLL_INTERVAL).await;
             }
         };
-        // Each side's end ends the other's, as for a caller that closes.
+        // If either side closes, the other is closed as well.
         to.or(from).or(broken).await;
     }
 
-    async fn pump(&self, mut from: TcpStream, mut to: TcpStream, direction: Direction, born: u32) {
-        let mut bytes = vec![0; CHUNK];
+    async fn forward(
+        &self,
+        mut from: TcpStream,
+        mut to: TcpStream,
+        direction: Direction,
+        generation: u32,
+    ) {
+        let mut bytes = vec![0; BUFFER_SIZE];
         while let Ok(count @ 1..) = from.read(&mut bytes).await {
-            self.wait_open(direction, count).await;
-            if self.mutes.load(Ordering::SeqCst) > born {
+            self.wait_until_passable(direction, count).await;
+            if self.blackhole_count.load(Ordering::SeqCst) > generation {
                 continue;
             }
             if to.write_all(&bytes[..count]).await.is_err() {
                 return;
             }
         }
-        self.wait_open(direction, 0).await;
+        self.wait_until_passable(direction, 0).await;
     }
 
-    /// Returns when so many more bytes will have passed at a rate.
+    /// Returns the time at which this number of further bytes will have been forwarded at a rate.
     fn reserve(&self, direction: Direction, bytes: usize, rate: u32) -> Instant {
         let mut slots = self.free_at.lock().unwrap_or_else(PoisonError::into_inner);
         let slot = &mut slots[direction as usize];
@@ -144,12 +150,12 @@
         end
     }
 
-    /// Waits until bytes may pass.
-    async fn wait_open(&self, direction: Direction, bytes: usize) {
+    /// Waits until the link's state allows bytes to be forwarded.
+    async fn wait_until_passable(&self, direction: Direction, bytes: usize) {
         loop {
             match self.state() {
-                LinkState::Delayed(span) => {
-                    Timer::after(span).await;
+                LinkState::Delayed(delay) => {
+                    Timer::after(delay).await;
                     return;
                 }
                 LinkState::Throttled(rate) => {
@@ -161,7 +167,7 @@
                 LinkState::StalledFromServer if direction == Direction::From => {}
                 _ => return,
             }
-            Timer::after(LOOK_PAUSE).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
--- a/packages/turnford-standin/src/report.rs
+++ b/packages/turnford-standin/src/report.rs
@@ -17,63 +17,65 @@
 /// Significant digits of latency histograms.
 const DIGITS: u8 = 3;
 
-/// Longest time that is told apart, in microseconds.
-const LONGEST_MICROS: u64 = 3_600_000_000;
+/// Largest latency that histograms distinguish, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
-/// Numbers of one account, or of all together.
+/// Results of one account, or of all accounts together.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct AccountReport {
     /// Requests sent.
     pub sent: u64,
-    /// Answers whole and within the deadline.
+    /// Complete responses within the deadline.
     pub attained: u64,
-    /// Share of attained requests.
+    /// Ratio of attained requests.
     pub attainment: f64,
-    /// Latency from the intended start at 50, 95 and 99 in 100, over whole answers, in ms.
+    /// 50th, 95th and 99th percentile of the latency from the intended start, over complete responses,
+    /// in milliseconds.
     pub latency_ms: [f64; 3],
-    /// Time to the first token at 50, 95 and 99 in 100, over streams, in ms.
+    /// 50th, 95th and 99th percentile of the time to the first token, over streams, in milliseconds.
     pub first_token_ms: [f64; 3],
-    /// Requests by result code; "none" got no end.
+    /// Requests by result code; "none" counts requests without a valid response.
     pub codes: BTreeMap<String, u64>,
-    /// Cost by service, work for requests that failed included.
+    /// Cost by service, including work for failed requests.
     pub cost: BTreeMap<String, f64>,
-    /// Cost for each attained request.
+    /// Cost per attained request.
     pub cost_per_attained: f64,
 }
 
-/// The whole report.
+/// Report of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// Scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Seconds over which requests were started.
+    /// Time over which requests were started, in seconds.
     pub seconds: f64,
-    /// Seed.
+    /// Seed of arrivals and inputs.
     pub seed: u64,
-    /// All accounts together.
+    /// Results of all accounts together.
     pub total: AccountReport,
-    /// Each account.
+    /// Results by account.
     pub accounts: BTreeMap<String, AccountReport>,
-    /// Broken promises.
+    /// Violations found by the audit.
     pub audit: AuditCounts,
-    /// Attained and sent requests by second of their start, for the plot.
+    /// Attained and sent requests by the second of their start, for the plot.
     pub by_second: Vec<(u64, u64)>,
 }
 
-/// Numbers while they are added up.
-struct AccountSum {
+/// Accumulated results.
+struct AccountTotals {
     report: AccountReport,
     latency: Histogram<u64>,
     first_token: Histogram<u64>,
 }
 
-impl AccountSum {
+impl AccountTotals {
     fn new() -> Self {
-        // The bounds and digits are within what the histogram takes, so both calls succeed.
-        let histogram =
-            || Histogram::new_with_max(LONGEST_MICROS, DIGITS).unwrap_or_else(|_| unreachable!());
+        // Creation can't fail: the bound and the digits are within the histogram's supported range.
+        let histogram = || {
+            Histogram::new_with_max(MAX_LATENCY_MICROS, DIGITS).unwrap_or_else(|_| unreachable!())
+        };
         Self {
             report: AccountReport::default(),
             latency: histogram(),
@@ -88,7 +90,7 @@
             .code
             .map_or("none".to_owned(), |code| code.to_string());
         *self.report.codes.entry(code).or_default() += 1;
-        if record.whole {
+        if record.is_complete {
             self.latency.saturating_record(micros(record.latency));
         }
         if let Some(time) = record.first_token {
@@ -114,16 +116,16 @@
     journal: &[JournalEntry],
     audit: AuditCounts,
 ) -> LoadReport {
-    let mut total = AccountSum::new();
-    let mut accounts: BTreeMap<String, AccountSum> = BTreeMap::new();
+    let mut total = AccountTotals::new();
+    let mut accounts: BTreeMap<String, AccountTotals> = BTreeMap::new();
     let mut account_of: HashMap<&str, &str> = HashMap::new();
-    let seconds = settings.span.as_secs_f64();
+    let seconds = settings.duration.as_secs_f64();
     let mut by_second = vec![(0, 0); seconds.ceil() as usize + 1];
     for record in records {
         total.add(record);
         let sum = accounts
             .entry(record.account.clone())
-            .or_insert_with(AccountSum::new);
+            .or_insert_with(AccountTotals::new);
         sum.add(record);
         account_of.insert(&record.mark, &record.account);
         let last = by_second.len() - 1;
@@ -206,6 +208,6 @@
     [0.5, 0.95, 0.99].map(|quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0)
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/packages/turnford-standin/src/scenario.rs
+++ b/packages/turnford-standin/src/scenario.rs
@@ -4,7 +4,7 @@
 
 use crate::FaultSpec;
 
-/// A whole scenario.
+/// A scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -14,7 +14,7 @@
     pub seed: u64,
     /// Region of the halls.
     pub region: String,
-    /// Halls; targets are spread over them in turn.
+    /// Halls, over which targets are distributed round-robin.
     pub halls: Vec<String>,
     /// One-way delay between halls, in milliseconds.
     pub hall_delay_ms: f64,
@@ -24,9 +24,9 @@
     pub list_lag_ms: u64,
     /// Services.
     pub services: Vec<ServiceSpec>,
-    /// What callers ask for.
+    /// Traffic mix of the clients.
     pub traffic: Vec<TrafficSpec>,
-    /// Requests a second that load the busiest service fully, as measured.
+    /// Measured rate in requests per second that fully loads the busiest service.
     pub full_rate: f64,
     /// Faults by time.
     #[serde(default)]
@@ -41,34 +41,34 @@
     pub name: String,
     /// Number of targets.
     pub count: usize,
-    /// Calls that a target runs at a time.
+    /// Calls that a target runs concurrently.
     pub slots: u32,
     /// Fixed time of a call, in milliseconds.
     pub base_ms: f64,
-    /// Time for each 1,000 input tokens, in milliseconds.
+    /// Time per 1,000 input tokens, in milliseconds.
     #[serde(default)]
     pub per_kilotoken_ms: f64,
-    /// Time for each token generated, in milliseconds.
+    /// Time per generated token, in milliseconds.
     #[serde(default)]
     pub per_token_ms: f64,
-    /// Hardware classes in turn: old and new VMs in one fleet.
+    /// Hardware classes, assigned to targets round-robin: old and new VMs in one fleet.
     pub hardware: Vec<HardwareSpec>,
-    /// Prefixes that a target's cache holds; 0 for none.
+    /// Capacity of a target's prefix cache; 0 for no cache.
     #[serde(default)]
     pub cache_prefixes: usize,
-    /// Whether a call must run at most once for each request, which the audit checks.
+    /// Whether a call must run at most once per request, which the audit checks.
     #[serde(default)]
     pub once: bool,
     /// Models present on every target at the start.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Models that a target can hold.
+    /// Maximum number of models on a target.
     #[serde(default = "default_room")]
     pub model_room: usize,
     /// Time that loading a model takes, in milliseconds.
     #[serde(default)]
     pub load_ms: u64,
-    /// Whether targets refuse orders with a token below the highest they saw.
+    /// Whether targets reject orders whose token is lower than the highest that they have seen.
     #[serde(default)]
     pub checks_orders: bool,
 }
@@ -85,26 +85,26 @@
     pub name: String,
     /// Factor on all times.
     pub slowness: f64,
-    /// Cost of one second of one slot.
+    /// Cost per slot and second.
     pub cost: f64,
 }
 
-/// A part of the traffic.
+/// One class of the traffic.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficSpec {
-    /// Account; its key is `key-` and the name.
+    /// Account; its API key is `key-` and the name.
     pub account: String,
     /// Template.
     pub template: String,
-    /// Part of the requests, next to the other entries' weights.
+    /// Weight of this class relative to the others.
     pub weight: f64,
     /// Median input length in tokens.
     pub tokens: u32,
-    /// Whether each request carries its own id.
+    /// Whether each request carries a unique request id.
     #[serde(default)]
     pub request_ids: bool,
-    /// Whether answers are asked for as streams.
+    /// Whether responses are requested as streams.
     #[serde(default)]
     pub stream: bool,
 }
@@ -114,17 +114,17 @@
     ///
     /// # Errors
     ///
-    /// Returns the parser's message, which names line and field.
+    /// Returns the parser's message, which names line and field, or the invalid value.
     pub fn parse(text: &str) -> Result<Self, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|error| error.to_string())?;
         if scenario.halls.is_empty() || scenario.services.is_empty() {
             return Err("halls and services must not be empty".to_owned());
         }
-        let bare = scenario
+        let invalid = scenario
             .services
             .iter()
             .find(|service| service.hardware.is_empty());
-        match bare {
+        match invalid {
             Some(service) => Err(format!("service {:?} names no hardware", service.name)),
             None => Ok(scenario),
         }
--- a/packages/turnford-standin/src/store.rs
+++ b/packages/turnford-standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The objects behind the stand-in of the object API.
+//! In-memory object store of the object API's stand-in.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -8,19 +8,19 @@
 use turnford_platform::ObjectVersion;
 use turnford_platform::VALUE_LIMIT;
 
-/// Changes kept for watches.
+/// Number of changes kept for watches.
 const CHANGE_LIMIT: usize = 10_000;
 
-/// Why the store refused.
+/// Error of a store operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// The expected version is not the current one.
     Conflict(ObjectVersion),
     /// No such object.
     NotFound,
-    /// Changes that old are no longer kept.
+    /// The requested changes are no longer kept.
     HistoryExpired,
-    /// The value is larger than a megabyte.
+    /// The value is larger than [`VALUE_LIMIT`].
     TooLarge,
 }
 
@@ -45,7 +45,8 @@
         found.map(|(version, bytes)| (*version, bytes.as_slice()))
     }
 
-    /// Writes an object if it has the expected version; 0 expects none, `None` expects nothing.
+    /// Writes an object if it has the expected version. Version 0 expects that the object doesn't exist,
+    /// `None` accepts any version.
     ///
     /// # Errors
     ///
@@ -60,7 +61,7 @@
         if bytes.len() > VALUE_LIMIT {
             return Err(StoreError::TooLarge);
         }
-        let version = self.note_change(key);
+        let version = self.record_change(key);
         self.objects.insert(key.to_owned(), (version, bytes));
         Ok(version)
     }
@@ -80,10 +81,10 @@
         }
         self.check(key, expected)?;
         self.objects.remove(key);
-        Ok(self.note_change(key))
+        Ok(self.record_change(key))
     }
 
-    /// Lists the objects below a prefix.
+    /// Lists the objects whose keys start with a prefix.
     pub fn list(&self, prefix: &str) -> ObjectList {
         let range = self.objects.range(prefix.to_owned()..);
         let below = range.take_while(|(key, _)| key.starts_with(prefix));
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Returns what changed below a prefix after a revision; each object once, as it is now.
+    /// Returns the objects with a prefix that changed after a revision, each once in its current state.
     ///
     /// # Errors
     ///
@@ -125,7 +126,7 @@
         }
     }
 
-    fn note_change(&mut self, key: &str) -> ObjectVersion {
+    fn record_change(&mut self, key: &str) -> ObjectVersion {
         self.revision += 1;
         self.changes.push_back((self.revision, key.to_owned()));
         if self.changes.len() > CHANGE_LIMIT {
--- a/packages/turnford-standin/src/target.rs
+++ b/packages/turnford-standin/src/target.rs
@@ -1,4 +1,4 @@
-//! One target: a model engine, a member of a stage pool or a plain service.
+//! Stand-in for a target: a model engine, a member of a stage pool or a plain service.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::VecDeque;
@@ -30,7 +30,7 @@
 
 use crate::control::json_response;
 use crate::journal::mark_of;
-use crate::models::ModelShelf;
+use crate::models::ModelTable;
 use crate::models::OrderBody;
 use crate::models::OrderResult;
 use crate::FaultKind;
@@ -39,23 +39,23 @@
 use crate::JournalEntry;
 use crate::ServiceSpec;
 
-/// Characters taken as one token.
+/// Characters per token.
 const TOKEN_CHARS: usize = 4;
 
-/// Characters that make the prefix of an input.
+/// Characters in the cached prefix of an input.
 const PREFIX_CHARS: usize = 64;
 
-/// Part of the prompt's time that a cached prefix saves.
-const PREFIX_SAVING: f64 = 0.5;
+/// Ratio of the prompt's processing time that a cached prefix saves.
+const PREFIX_SAVING_RATIO: f64 = 0.5;
 
-/// Calls that wait beside each slot before the target says that it is full.
+/// Queued calls per slot above which the target rejects calls as full.
 const QUEUE_PER_SLOT: u32 = 4;
 
-/// Events of the cache that are kept; older ones show as a gap.
-const EVENT_LIMIT: usize = 256;
+/// Number of cache events kept; clients see dropped events as a gap in the numbers.
+const EVENT_CAPACITY: usize = 256;
 
-/// Added to the time of a call when all slots are taken, as a part.
-const CROWDING: f64 = 0.25;
+/// Ratio by which a call takes longer if all slots are in use.
+const LOAD_SLOWDOWN: f64 = 0.25;
 
 /// Body of a call.
 #[derive(Clone, Debug, Deserialize)]
@@ -70,12 +70,12 @@
 /// Prefix cache and its events.
 #[derive(Default)]
 struct PrefixCache {
-    held: VecDeque<u64>,
+    prefixes: VecDeque<u64>,
     events: VecDeque<(u64, u64, bool)>,
     next_event: u64,
 }
 
-/// Shared state of one target.
+/// State of one target.
 pub(crate) struct TargetService {
     entry: VmEntry,
     spec: ServiceSpec,
@@ -88,16 +88,16 @@
     report: Mutex<(Instant, u32, u32)>,
     report_lag: Duration,
     cache: Mutex<PrefixCache>,
-    shelf: Mutex<ModelShelf>,
+    model_table: Mutex<ModelTable>,
     rng: Mutex<SmallRng>,
 }
 
-/// A slot in use; an entry is written to the journal when it is given back, however that happens.
+/// A slot in use; dropping it frees the slot and writes a journal entry, even if the call was cancelled.
 struct SlotGuard {
     service: Arc<TargetService>,
     body: RunBody,
     started: Instant,
-    whole: bool,
+    is_complete: bool,
 }
 
 impl Drop for SlotGuard {
@@ -112,12 +112,12 @@
             mark: mark_of(&self.body.input).to_owned(),
             seconds,
             cost: seconds * self.service.entry.cost,
-            whole: self.whole,
+            whole: self.is_complete,
         });
     }
 }
 
-/// A place in the queue.
+/// A position in the queue; dropping it leaves the queue.
 struct QueueGuard<'a>(&'a AtomicU32);
 
 impl Drop for QueueGuard<'_> {
@@ -137,7 +137,8 @@
     ) -> Self {
         let slots = async_channel::bounded(spec.slots.max(1) as usize);
         let load_time = Duration::from_millis(spec.load_ms);
-        let shelf = ModelShelf::new(&spec.models, spec.model_room, load_time, spec.checks_orders);
+        let model_table =
+            ModelTable::new(&spec.models, spec.model_room, load_time, spec.checks_orders);
         Self {
             entry,
             spec,
@@ -150,12 +151,12 @@
             report: Mutex::new((Instant::now(), 0, 0)),
             report_lag,
             cache: Mutex::new(PrefixCache::default()),
-            shelf: Mutex::new(shelf),
+            model_table: Mutex::new(model_table),
             rng: Mutex::new(SmallRng::seed_from_u64(seed)),
         }
     }
 
-    /// Answers one call.
+    /// Handles a call; `None` closes the connection without a response.
     pub(crate) async fn handle(self: Arc<Self>, call: BufferedRequest) -> Option<HttpResponse> {
         if self.fault(FaultKind::Die).is_some() {
             return None;
@@ -174,16 +175,16 @@
             return Some(HttpResponse::new(StatusCode::BAD_REQUEST));
         };
         if self.fault(FaultKind::Leave).is_some() {
-            return Some(refusal("leaving"));
+            return Some(rejection("leaving"));
         }
         if self.fault(FaultKind::FastError).is_some() {
             return Some(HttpResponse::new(StatusCode::INTERNAL_SERVER_ERROR));
         }
         let limit = self.spec.slots * QUEUE_PER_SLOT;
         if self.queued.load(Ordering::SeqCst) >= limit {
-            return Some(refusal("full"));
+            return Some(rejection("full"));
         }
-        let slot = self.take_slot(body).await;
+        let slot = self.acquire_slot(body).await;
         let (prompt, cached) = self.prompt_time(&slot.body);
         if slot.body.stream {
             return Some(self.stream(slot, prompt, cached));
@@ -204,11 +205,11 @@
         if self.fault(FaultKind::Error).is_some() {
             return Some(HttpResponse::new(StatusCode::INTERNAL_SERVER_ERROR));
         }
-        slot.whole = true;
+        slot.is_complete = true;
         let body = &slot.body;
         let output = format!("{}({})", self.entry.service, body.input);
         let answer = json!({
-            "attempt": self.answered_id(&body.attempt),
+            "attempt": self.response_id(&body.attempt),
             "output": output,
             "tokens": body.max_tokens,
             "cached": cached,
@@ -224,7 +225,7 @@
         Some(response)
     }
 
-    /// Streams one line a token, and a last line that says that the stream is whole.
+    /// Streams one line per token, and a last line that marks the stream as complete.
     fn stream(self: Arc<Self>, slot: SlotGuard, prompt: Duration, cached: u32) -> HttpResponse {
         let first = slot.body.resume_from;
         let state = (self, slot, first, false);
@@ -245,9 +246,9 @@
             {
                 return None;
             }
-            let attempt = service.answered_id(&slot.body.attempt);
+            let attempt = service.response_id(&slot.body.attempt);
             if index >= slot.body.max_tokens {
-                slot.whole = true;
+                slot.is_complete = true;
                 let line = json!({ "attempt": attempt, "done": true, "cached": cached });
                 return Some((
                     format!("{line}\n").into_bytes(),
@@ -269,7 +270,7 @@
         response
     }
 
-    async fn take_slot(self: &Arc<Self>, body: RunBody) -> SlotGuard {
+    async fn acquire_slot(self: &Arc<Self>, body: RunBody) -> SlotGuard {
         self.queued.fetch_add(1, Ordering::SeqCst);
         let queued = QueueGuard(&self.queued);
         let _ = self.slots.0.send(()).await;
@@ -279,15 +280,15 @@
             service: self.clone(),
             body,
             started: Instant::now(),
-            whole: false,
+            is_complete: false,
         }
     }
 
-    /// Returns the time until the first token and the input tokens that were cached.
+    /// Returns the time until the first token and the number of cached input tokens.
     fn prompt_time(&self, body: &RunBody) -> (Duration, u32) {
         let tokens = (body.input.len() / TOKEN_CHARS) as f64;
         let hit = self.use_prefix(&body.input);
-        let saving = if hit { PREFIX_SAVING } else { 0.0 };
+        let saving = if hit { PREFIX_SAVING_RATIO } else { 0.0 };
         let prompt = self.spec.per_kilotoken_ms * tokens / 1000.0 * (1.0 - saving);
         let noise = lock(&self.rng).random_range(0.8..1.2);
         let time = self.scaled((self.spec.base_ms + prompt) * noise);
@@ -306,8 +307,8 @@
     fn scaled(&self, millis: f64) -> Duration {
         let slow = self.fault(FaultKind::Slow).unwrap_or(1.0);
         let running = f64::from(self.running.load(Ordering::SeqCst));
-        let crowding = 1.0 + CROWDING * running / f64::from(self.spec.slots.max(1));
-        Duration::from_secs_f64(millis / 1000.0 * self.slowness * slow * crowding)
+        let load_factor = 1.0 + LOAD_SLOWDOWN * running / f64::from(self.spec.slots.max(1));
+        Duration::from_secs_f64(millis / 1000.0 * self.slowness * slow * load_factor)
     }
 
     fn use_prefix(&self, input: &str) -> bool {
@@ -316,21 +317,21 @@
         }
         let prefix = prefix_hash(input);
         let mut cache = lock(&self.cache);
-        let hit = cache.held.contains(&prefix);
-        cache.held.retain(|held| *held != prefix);
-        cache.held.push_back(prefix);
+        let hit = cache.prefixes.contains(&prefix);
+        cache.prefixes.retain(|known| *known != prefix);
+        cache.prefixes.push_back(prefix);
         if !hit {
-            cache.note(prefix, true);
+            cache.record_event(prefix, true);
         }
-        if cache.held.len() > self.spec.cache_prefixes {
-            if let Some(dropped) = cache.held.pop_front() {
-                cache.note(dropped, false);
+        if cache.prefixes.len() > self.spec.cache_prefixes {
+            if let Some(dropped) = cache.prefixes.pop_front() {
+                cache.record_event(dropped, false);
             }
         }
         hit
     }
 
-    /// Returns numbers that are as old as the scenario's lag, or a little older.
+    /// Returns load numbers, which are replaced only once they are as old as the scenario's report lag.
     fn report_now(&self) -> HttpResponse {
         let mut report = lock(&self.report);
         let age = report.0.elapsed();
@@ -339,7 +340,7 @@
             "queued": report.2,
             "age_ms": age.as_millis() as u64,
             "leaving": self.fault(FaultKind::Leave).is_some(),
-            "models": lock(&self.shelf).present(),
+            "models": lock(&self.model_table).present(),
         });
         if age >= self.report_lag {
             let running = self.running.load(Ordering::SeqCst);
@@ -353,10 +354,10 @@
         let Ok(order) = serde_json::from_slice::<OrderBody>(&call.body) else {
             return HttpResponse::new(StatusCode::BAD_REQUEST);
         };
-        let status = match lock(&self.shelf).apply(&order) {
-            OrderResult::Taken => StatusCode::ACCEPTED,
+        let status = match lock(&self.model_table).apply(&order) {
+            OrderResult::Accepted => StatusCode::ACCEPTED,
             OrderResult::Stale => StatusCode::CONFLICT,
-            OrderResult::Refused => StatusCode::UNPROCESSABLE_ENTITY,
+            OrderResult::Rejected => StatusCode::UNPROCESSABLE_ENTITY,
         };
         HttpResponse::new(status)
     }
@@ -372,8 +373,8 @@
         json_response(&json!({ "events": events }))
     }
 
-    /// Returns the attempt's id, or that of another attempt under the fault for it.
-    fn answered_id(&self, attempt: &str) -> String {
+    /// Returns the attempt's id, or that of another attempt if a fault requires that.
+    fn response_id(&self, attempt: &str) -> String {
         if self.fault(FaultKind::Swap).is_some() {
             return format!("{attempt}1");
         }
@@ -392,16 +393,16 @@
 }
 
 impl PrefixCache {
-    fn note(&mut self, prefix: u64, present: bool) {
+    fn record_event(&mut self, prefix: u64, present: bool) {
         self.next_event += 1;
         self.events.push_back((self.next_event, prefix, present));
-        if self.events.len() > EVENT_LIMIT {
+        if self.events.len() > EVENT_CAPACITY {
             self.events.pop_front();
         }
     }
 }
 
-fn refusal(reason: &str) -> HttpResponse {
+fn rejection(reason: &str) -> HttpResponse {
     let mut response = json_response(&json!({ "refused": reason }));
     response.set_status(StatusCode::SERVICE_UNAVAILABLE);
     response
--- a/packages/turnford-standin/tests/load_audit.rs
+++ b/packages/turnford-standin/tests/load_audit.rs
@@ -1,4 +1,4 @@
-//! The load tool's own parts: scenarios, the store's conditions, plots that end.
+//! Components of the load tool: scenarios, conditional writes of the store, fault times and plots.
 
 use std::time::Duration;
 
--- a/packages/turnford/src/command/load.rs
+++ b/packages/turnford/src/command/load.rs
@@ -76,7 +76,7 @@
         nodes: Vec::new(),
         control,
         rate,
-        span: arguments.duration,
+        duration: arguments.duration,
         deadline: arguments.deadline,
         seed: arguments.seed,
         burst: arguments.burst,
