--- a/packages/turnford-standin/src/balancer.rs
+++ b/packages/turnford-standin/src/balancer.rs
@@ -68,7 +68,7 @@
         let (node, ready) = &self.nodes[number];
         let answer = match HttpClient::request(Method::GET, *node, "/readyz") {
             Ok(request) => client.send(*node, request, CHECK_TIMEOUT).await,
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
         ready.store(
             answer.is_ok_and(|answer| answer.status == 200),
--- a/packages/turnford-standin/src/load.rs
+++ b/packages/turnford-standin/src/load.rs
@@ -330,10 +330,10 @@
     control: SocketAddr,
 ) -> Result<Vec<JournalEntry>, String> {
     let mut request = HttpClient::request(Method::GET, control, "/journal")
-        .map_err(|fault| format!("journal: {fault}"))?;
+        .map_err(|error| format!("journal: {error}"))?;
     request.insert_header("connection", "close");
     let timeout = Duration::from_secs(30);
     let answer = client.send_large(control, request, timeout).await;
-    let answer = answer.map_err(|fault| format!("journal: {fault}"))?;
+    let answer = answer.map_err(|error| format!("journal: {error}"))?;
     serde_json::from_slice(&answer.body).map_err(|error| format!("journal: {error}"))
 }
--- a/packages/turnford-standin/src/route/signals.rs
+++ b/packages/turnford-standin/src/route/signals.rs
@@ -83,9 +83,9 @@
         self.is_leaving.load(Ordering::SeqCst)
     }
 
-    pub(super) fn request_backoff(&self, span: Duration) {
+    pub(super) fn request_backoff(&self, duration: Duration) {
         *lock(&self.backoff) = Some(BackoffRequest {
-            until: Instant::now() + span,
+            until: Instant::now() + duration,
             announced_at: None,
         });
     }
--- a/packages/turnford-standin/src/route/target.rs
+++ b/packages/turnford-standin/src/route/target.rs
@@ -241,8 +241,8 @@
     }
 
     /// Makes the target reject all calls for this time and request back-off until its end.
-    pub fn request_backoff(&self, span: Duration) {
-        self.state.signals.request_backoff(span);
+    pub fn request_backoff(&self, duration: Duration) {
+        self.state.signals.request_backoff(duration);
     }
 
     /// Sets the limit for all nodes together that the target announces in all its responses.
--- a/packages/turnford/examples/overhead.rs
+++ b/packages/turnford/examples/overhead.rs
@@ -151,7 +151,7 @@
 }
 
 /// Loads the node with a closed loop of callers; returns the rate in requests per second.
-async fn measure_rate(site: &LocalSite, callers: usize, span: Duration) -> f64 {
+async fn measure_rate(site: &LocalSite, callers: usize, duration: Duration) -> f64 {
     let executor = start_threads("callers", 2);
     let client = Arc::new(HttpClient::new());
     let count = Arc::new(AtomicU64::new(0));
@@ -161,7 +161,7 @@
         .map(|_| {
             let (client, count) = (client.clone(), count.clone());
             executor.spawn(async move {
-                while started_at.elapsed() < span {
+                while started_at.elapsed() < duration {
                     send_through_node(&client, node).await;
                     count.fetch_add(1, Ordering::Relaxed);
                 }
--- a/packages/turnford/src/command/demo.rs
+++ b/packages/turnford/src/command/demo.rs
@@ -167,12 +167,12 @@
 ) -> Result<(), String> {
     let path = format!("/v1/pipelines/{template}");
     let request = HttpClient::request(Method::POST, address, &path);
-    let mut request = request.map_err(|fault| fault.to_string())?;
+    let mut request = request.map_err(|error| error.to_string())?;
     request.insert_header("authorization", format!("Bearer key-{account}"));
     request.insert_header("turnford-request-id", format!("demo-{number}"));
     request.set_body(format!("mark:demo-{number} {text}"));
     let answer = client.send(address, request, REQUEST_TIMEOUT).await;
-    let answer = answer.map_err(|fault| format!("{template}: {fault}"))?;
+    let answer = answer.map_err(|error| format!("{template}: {error}"))?;
     let value: Value =
         serde_json::from_slice(&answer.body).map_err(|error| format!("{template}: {error}"))?;
     println!("  {account} asks {template}: {text}");
--- a/packages/turnford/src/command/object.rs
+++ b/packages/turnford/src/command/object.rs
@@ -88,8 +88,8 @@
                 ExitStatus::Failed
             }
         },
-        Err(fault) => {
-            eprintln!("{key}: {fault}");
+        Err(error) => {
+            eprintln!("{key}: {error}");
             ExitStatus::Unavailable
         }
     }
@@ -133,8 +133,8 @@
             }
             ExitStatus::Success
         }
-        Err(fault) => {
-            eprintln!("{key}: {fault}");
+        Err(error) => {
+            eprintln!("{key}: {error}");
             ExitStatus::Unavailable
         }
     }
--- a/packages/turnford/src/command/remote.rs
+++ b/packages/turnford/src/command/remote.rs
@@ -26,7 +26,7 @@
                 None => fail(node, "the response is not valid JSON"),
             }
         }
-        Err(fault) => fail(node, &fault.to_string()),
+        Err(error) => fail(node, &error.to_string()),
     }
 }
 
@@ -38,7 +38,7 @@
             ExitStatus::Success
         }
         Ok(answer) => fail(node, &format!("status {}", answer.status)),
-        Err(fault) => fail(node, &fault.to_string()),
+        Err(error) => fail(node, &error.to_string()),
     }
 }
 
--- a/packages/turnford/src/command/routes.rs
+++ b/packages/turnford/src/command/routes.rs
@@ -50,17 +50,17 @@
         let to = addresses[number % addresses.len()];
         let attempt = format!("demo{number:012x}");
         let request = call.request(to, &attempt);
-        let request = request.map_err(|fault| fault.to_string())?;
-        let begun = Instant::now();
+        let request = request.map_err(|error| error.to_string())?;
+        let started_at = Instant::now();
         let answer = client.send(to, request, TIMEOUT).await;
-        let answer = answer.map_err(|fault| format!("{}: {fault}", call.name))?;
+        let answer = answer.map_err(|error| format!("{}: {error}", call.name))?;
         println!(
             "  {} at node {}: status {}, {} bytes, {:.0} ms",
             call.name,
             number % NODE_COUNT,
             answer.status,
             answer.body.len(),
-            begun.elapsed().as_secs_f64() * 1000.0
+            started_at.elapsed().as_secs_f64() * 1000.0
         );
         show_runs(&site, &attempt);
         if answer.status != 200 {
@@ -91,9 +91,9 @@
 }
 
 async fn wait_ready(nodes: &[ServeNode]) -> Result<(), String> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while !nodes.iter().all(ServeNode::is_ready) {
-        if begun.elapsed() > TIMEOUT {
+        if started_at.elapsed() > TIMEOUT {
             return Err("the nodes for routes are not ready".to_owned());
         }
         Timer::after(READY_INTERVAL).await;
--- a/packages/turnford/src/operator.rs
+++ b/packages/turnford/src/operator.rs
@@ -52,7 +52,7 @@
                 "not accepted: the object has version {current}, expected {expected}; another \
                  change was written first"
             ),
-            ChangeOutcome::Rejected(fault) => write!(f, "not accepted: {fault}"),
+            ChangeOutcome::Rejected(error) => write!(f, "not accepted: {error}"),
             ChangeOutcome::Unknown => f.write_str(
                 "unknown: the platform's response was lost and the outcome can't be determined; \
                  check with 'turnford history'",
@@ -89,7 +89,7 @@
             Ok((value.version, envelope))
         }
         Err(PlatformError::NotFound) => Ok((0, ConfigEnvelope::default())),
-        Err(fault) => Err(fault),
+        Err(error) => Err(error),
     }
 }
 
@@ -97,7 +97,7 @@
 pub async fn change_object(objects: &ObjectClient, request: ChangeRequest<'_>) -> ChangeOutcome {
     let (current, envelope) = match read_envelope(objects, request.key).await {
         Ok(found) => found,
-        Err(fault) => return ChangeOutcome::Rejected(fault),
+        Err(error) => return ChangeOutcome::Rejected(error),
     };
     let expected = request.expected.unwrap_or(current);
     if expected != current {
@@ -118,7 +118,7 @@
         .to_owned(),
         at: SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |span| span.as_secs()),
+            .map_or(0, |duration| duration.as_secs()),
         replaced: current,
     };
     let changed = envelope.changed(request.text, change).encode();
@@ -126,10 +126,10 @@
     match objects.put(request.key, guard, changed.into_bytes()).await {
         Ok(version) => ChangeOutcome::Accepted(version),
         Err(PlatformError::Conflict { current }) => ChangeOutcome::Conflict { expected, current },
-        Err(fault) if fault.may_have_written() => {
+        Err(error) if error.may_have_written() => {
             read_back_outcome(objects, request.key, &write_id, current).await
         }
-        Err(fault) => ChangeOutcome::Rejected(fault),
+        Err(error) => ChangeOutcome::Rejected(error),
     }
 }
 
--- a/packages/turnford/src/site.rs
+++ b/packages/turnford/src/site.rs
@@ -108,9 +108,9 @@
     }
 
     async fn wait_ready(&self) -> Result<(), String> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         while !self.nodes.iter().all(Node::is_ready) {
-            if begun.elapsed() > READY_TIMEOUT {
+            if started_at.elapsed() > READY_TIMEOUT {
                 return Err("the nodes did not become ready".to_owned());
             }
             Timer::after(Duration::from_millis(10)).await;
--- a/packages/turnford/tests/claimed_once.rs
+++ b/packages/turnford/tests/claimed_once.rs
@@ -80,7 +80,7 @@
     );
     assert!(refused.body["retry_after_ms"]
         .as_u64()
-        .is_some_and(|span| span > 0));
+        .is_some_and(|duration| duration > 0));
     assert!(
         site.runs("post", "mark:away").is_empty(),
         "a stage ran before the claim"
--- a/packages/turnford/tests/common/mod.rs
+++ b/packages/turnford/tests/common/mod.rs
@@ -230,8 +230,11 @@
         serde_json::from_slice(&answer.expect("the node answers").body).expect("JSON")
     }
 
-    pub fn fault(&self, kind: FaultKind, at: &str, span: Duration, factor: f64) {
-        self.site.standins.faults.add_now(kind, at, span, factor);
+    pub fn fault(&self, kind: FaultKind, at: &str, duration: Duration, factor: f64) {
+        self.site
+            .standins
+            .faults
+            .add_now(kind, at, duration, factor);
     }
 
     /// Takes a snapshot of the platform's store, runs `change` and restores the snapshot.
--- a/packages/turnford/tests/soak/client.rs
+++ b/packages/turnford/tests/soak/client.rs
@@ -183,7 +183,7 @@
             let body = String::from_utf8_lossy(&answer.body).into_owned();
             CallResult::Response(answer.status, stamp.to_owned(), body)
         }
-        Err(fault) => CallResult::Failed(fault),
+        Err(error) => CallResult::Failed(error),
     };
     CallRecord {
         attempt,
--- a/packages/turnford/tests/soak/plan.rs
+++ b/packages/turnford/tests/soak/plan.rs
@@ -152,15 +152,15 @@
 fn random_fault(rng: &mut StdRng) -> Fault {
     let node = rng.random_range(0..node_count());
     let target = rng.random_range(0..TARGETS);
-    let span = Duration::from_millis(rng.random_range(300..3500));
+    let duration = Duration::from_millis(rng.random_range(300..3500));
     match rng.random_range(0..22) {
         0..3 => Fault::Stop(node),
         3..6 => Fault::Kill(node),
         6 => Fault::KillAll,
-        7..9 => Fault::Pause(node, span),
-        9..11 => Fault::StoreLink(Some(node), random_link_state(rng), span),
-        11 => Fault::StoreLink(None, random_link_state(rng), span),
-        12..14 => Fault::ClientLink(node, random_link_state(rng), span),
+        7..9 => Fault::Pause(node, duration),
+        9..11 => Fault::StoreLink(Some(node), random_link_state(rng), duration),
+        11 => Fault::StoreLink(None, random_link_state(rng), duration),
+        12..14 => Fault::ClientLink(node, random_link_state(rng), duration),
         14..17 => Fault::Target(target, random_target_fault(rng), rng.random_range(1..8)),
         17..19 => Fault::Leave(target),
         19..21 => Fault::Config,
@@ -170,29 +170,29 @@
 
 fn random_link_fault(rng: &mut StdRng) -> Fault {
     let node = rng.random_range(0..node_count());
-    let span = Duration::from_millis(rng.random_range(1000..5000));
+    let duration = Duration::from_millis(rng.random_range(1000..5000));
     match rng.random_range(0..4) {
         0 => Fault::BlackholeStore(node),
-        1 => Fault::StoreLink(Some(node), LinkState::Throttled(SLOW_RATE), span),
+        1 => Fault::StoreLink(Some(node), LinkState::Throttled(SLOW_RATE), duration),
         _ => Fault::LargeConfig,
     }
 }
 
 fn random_announcement_fault(rng: &mut StdRng) -> Fault {
     let target = rng.random_range(0..TARGETS);
-    let span = Duration::from_millis(rng.random_range(1000..4000));
+    let duration = Duration::from_millis(rng.random_range(1000..4000));
     match rng.random_range(0..6) {
         0..2 => Fault::AnnounceLeaving(target),
-        2..5 => Fault::Backoff(target, span),
-        _ => Fault::RestoreStore(span),
+        2..5 => Fault::Backoff(target, duration),
+        _ => Fault::RestoreStore(duration),
     }
 }
 
 fn random_limit(rng: &mut StdRng) -> Fault {
     let target = rng.random_range(0..TARGETS);
-    let span = Duration::from_millis(rng.random_range(10_000..12_000));
+    let duration = Duration::from_millis(rng.random_range(10_000..12_000));
     let rate = LIMIT_RATES[rng.random_range(0..LIMIT_RATES.len())];
-    Fault::Limit(target, rate, span)
+    Fault::Limit(target, rate, duration)
 }
 
 fn random_link_state(rng: &mut StdRng) -> LinkState {
--- a/packages/turnford/tests/soak/run.rs
+++ b/packages/turnford/tests/soak/run.rs
@@ -223,25 +223,25 @@
         }
     }
 
-    fn after(&mut self, span: Duration, step: ScheduledStep) {
-        self.scheduled.push((Instant::now() + span, step));
+    fn after(&mut self, duration: Duration, step: ScheduledStep) {
+        self.scheduled.push((Instant::now() + duration, step));
     }
 
-    fn record_disturbance(&mut self, node: usize, span: Duration) {
+    fn record_disturbance(&mut self, node: usize, duration: Duration) {
         let begin = Instant::now();
         self.disturbances.push(NodeInterval {
             node,
             begin,
-            end: begin + span,
+            end: begin + duration,
         });
     }
 
-    fn record_interruption(&mut self, node: usize, span: Duration) {
+    fn record_interruption(&mut self, node: usize, duration: Duration) {
         let begin = Instant::now();
         self.interruptions.push(NodeInterval {
             node,
             begin,
-            end: begin + span,
+            end: begin + duration,
         });
     }
 
@@ -270,23 +270,23 @@
             }
             Fault::Kill(node) => self.kill(node),
             Fault::KillAll => (0..node_count()).for_each(|node| self.kill(node)),
-            Fault::Pause(node, span) => {
-                self.record_disturbance(node, span + CONTACT_TIME);
-                self.record_interruption(node, span);
+            Fault::Pause(node, duration) => {
+                self.record_disturbance(node, duration + CONTACT_TIME);
+                self.record_interruption(node, duration);
                 self.nodes[node].signal(Signal::STOP);
-                self.after(span, ScheduledStep::Resume(node));
+                self.after(duration, ScheduledStep::Resume(node));
             }
-            Fault::StoreLink(node, state, span) => {
+            Fault::StoreLink(node, state, duration) => {
                 for node in node.map_or(0..node_count(), |node| node..node + 1) {
-                    self.record_disturbance(node, span + CONTACT_TIME);
+                    self.record_disturbance(node, duration + CONTACT_TIME);
                     self.stores[node].set(state);
                 }
-                self.after(span, ScheduledStep::StoreLink(node));
+                self.after(duration, ScheduledStep::StoreLink(node));
             }
-            Fault::ClientLink(node, state, span) => {
-                self.record_disturbance(node, span + CONTACT_TIME);
+            Fault::ClientLink(node, state, duration) => {
+                self.record_disturbance(node, duration + CONTACT_TIME);
                 self.context.links[node].set(state);
-                self.after(span, ScheduledStep::ClientLink(node));
+                self.after(duration, ScheduledStep::ClientLink(node));
             }
             Fault::Target(target, fault, count) => {
                 self.site.targets[target].inject_faults(vec![fault; count]);
@@ -313,9 +313,9 @@
                 self.site.targets[target].announce_leaving(true);
                 self.after(RELIST_DELAY, ScheduledStep::Restart(target));
             }
-            Fault::Backoff(target, span) => self.site.targets[target].request_backoff(span),
+            Fault::Backoff(target, duration) => self.site.targets[target].request_backoff(duration),
             Fault::RestoreStore(age) => self.begin_store_restore(age),
-            Fault::Limit(target, rate, span) => {
+            Fault::Limit(target, rate, duration) => {
                 let target = &self.site.targets[target];
                 target.announce_limit(Some(rate));
                 let begin = Instant::now();
@@ -323,9 +323,9 @@
                     target: target.clone(),
                     rate: rate.parse().expect("a rate"),
                     begin,
-                    end: begin + span,
+                    end: begin + duration,
                 });
-                self.after(span, ScheduledStep::EndLimit(self.limits.len() - 1));
+                self.after(duration, ScheduledStep::EndLimit(self.limits.len() - 1));
             }
         }
     }
--- a/packages/turnford/tests/soak/word.rs
+++ b/packages/turnford/tests/soak/word.rs
@@ -35,8 +35,10 @@
 
 /// Returns whether a node was restarted or suspended between two instants.
 fn is_interrupted(interruptions: &[NodeInterval], node: usize, from: Instant, to: Instant) -> bool {
-    let mut own = interruptions.iter().filter(|span| span.node == node);
-    own.any(|span| span.begin <= to && span.end >= from)
+    let mut own = interruptions
+        .iter()
+        .filter(|interval| interval.node == node);
+    own.any(|interval| interval.begin <= to && interval.end >= from)
 }
 
 /// Returns for each request the target that it reached last, which sent the client's response.
@@ -65,21 +67,21 @@
     interruptions: &[NodeInterval],
 ) -> Vec<String> {
     let arrivals = target.arrivals();
-    let came = arrivals.iter();
-    let came = came.filter_map(|call| Some((records.get(&call.attempt)?, call.at)));
-    let came: Vec<(&CallRecord, Instant)> = came.collect();
+    let arrived = arrivals.iter();
+    let arrived = arrived.filter_map(|call| Some((records.get(&call.attempt)?, call.at)));
+    let arrived: Vec<(&CallRecord, Instant)> = arrived.collect();
     let mut violations = Vec::new();
-    let is_word = |record: &CallRecord| {
+    let is_announcement = |record: &CallRecord| {
         let is_last = last
             .get(&record.attempt)
             .is_some_and(|id| id == target.id());
         record.announced_leaving && is_last
     };
-    for (reported, _) in came.iter().filter(|(record, _)| is_word(record)) {
+    for (reported, _) in arrived.iter().filter(|(record, _)| is_announcement(record)) {
         let starts = restarts.iter().filter(|(id, _)| id == target.id());
         let starts = starts.map(|(_, at)| *at).filter(|at| *at >= reported.ended);
         let end = starts.min();
-        let late = came.iter().find(|(record, at)| {
+        let late = arrived.iter().find(|(record, at)| {
             let is_late = record.node == reported.node
                 && record.sent > reported.ended + LEAVING_PROPAGATION_TIME;
             let is_before = end.is_none_or(|end| *at < end);
@@ -151,7 +153,7 @@
             Some(record) => !is_interrupted(interruptions, record.node, lately, call.at),
             None => !interruptions
                 .iter()
-                .any(|span| span.begin <= call.at && span.end >= lately),
+                .any(|interval| interval.begin <= call.at && interval.end >= lately),
         }
     };
     let calls = limit.target.arrivals().into_iter().filter(counts);
