--- a/packages/turnford/tests/soak/run.rs
+++ b/packages/turnford/tests/soak/run.rs
@@ -36,9 +36,9 @@
 use crate::plan::FaultPlan;
 use crate::process::NodeProcess;
 use crate::process::GRACE_PERIOD_S;
+use crate::word::check_backoff;
 use crate::word::check_leaving;
 use crate::word::check_limit;
-use crate::word::check_rests;
 use crate::word::last_targets;
 use crate::word::LimitInterval;
 
@@ -564,8 +564,8 @@
         for target in &self.site.targets {
             let left = check_leaving(target, &last, &records, &self.restarts, &interruptions);
             self.violations.extend(left);
-            let rests = check_rests(target, &records, &interruptions);
-            self.violations.extend(rests);
+            let backoff = check_backoff(target, &records, &interruptions);
+            self.violations.extend(backoff);
         }
         let limits = self.limits.iter();
         let passed =
--- a/packages/turnford/tests/soak/word.rs
+++ b/packages/turnford/tests/soak/word.rs
@@ -21,7 +21,7 @@
 const CROSSING_LIMIT: usize = 2;
 
 /// Time after a fault of a node during which it is exempt from the checks; specified by the users.
-const EXCUSE_PERIOD: Duration = Duration::from_secs(3);
+const EXEMPTION_PERIOD: Duration = Duration::from_secs(3);
 
 /// A rate limit that a target announces, with the time in which it announces it.
 #[derive(Clone)]
@@ -56,8 +56,8 @@
     pairs.map(|(attempt, (_, id))| (attempt, id)).collect()
 }
 
-/// Returns a violation for each request that a node sent to a target more than
-/// [`LEAVING_PROPAGATION_TIME`] after the node forwarded the target's announcement that it is leaving.
+/// Returns a violation for each announcement of a target that it is leaving, if the node that forwarded it
+/// sent the target a request more than [`LEAVING_PROPAGATION_TIME`] later.
 /// Exempt are nodes that were interrupted in between, and targets that restarted.
 pub(crate) fn check_leaving(
     target: &RouteTarget,
@@ -77,22 +77,28 @@
             .is_some_and(|id| id == target.id());
         record.announced_leaving && is_last
     };
-    for (reported, _) in arrived.iter().filter(|(record, _)| is_announcement(record)) {
+    for (announcing, _) in arrived.iter().filter(|(record, _)| is_announcement(record)) {
         let starts = restarts.iter().filter(|(id, _)| id == target.id());
-        let starts = starts.map(|(_, at)| *at).filter(|at| *at >= reported.ended);
+        let starts = starts
+            .map(|(_, at)| *at)
+            .filter(|at| *at >= announcing.ended);
         let end = starts.min();
         let late = arrived.iter().find(|(record, at)| {
-            let is_late = record.node == reported.node
-                && record.sent > reported.ended + LEAVING_PROPAGATION_TIME;
+            let is_late = record.node == announcing.node
+                && record.sent > announcing.ended + LEAVING_PROPAGATION_TIME;
             let is_before = end.is_none_or(|end| *at < end);
-            let is_excused =
-                is_interrupted(interruptions, reported.node, reported.ended, record.sent);
-            is_late && is_before && !is_excused
+            let is_exempt = is_interrupted(
+                interruptions,
+                announcing.node,
+                announcing.ended,
+                record.sent,
+            );
+            is_late && is_before && !is_exempt
         });
         if let Some((record, _)) = late {
             let id = target.id();
             violations.push(format!(
-                "{id} announced that it is leaving: {reported:?}, and received {record:?}"
+                "{id} announced that it is leaving: {announcing:?}, and received {record:?}"
             ));
         }
     }
@@ -101,13 +107,13 @@
 
 /// Returns a violation if a node sent a target in a back-off period more requests than may cross the
 /// target's announcement.
-pub(crate) fn check_rests(
+pub(crate) fn check_backoff(
     target: &RouteTarget,
     records: &HashMap<String, CallRecord>,
     interruptions: &[NodeInterval],
 ) -> Option<String> {
     let mut counts: HashMap<(usize, Instant), usize> = HashMap::new();
-    let mut reported: HashMap<usize, (Instant, Instant)> = HashMap::new();
+    let mut announced: HashMap<usize, (Instant, Instant)> = HashMap::new();
     for call in target.arrivals() {
         let Some(record) = records.get(&call.attempt) else {
             continue;
@@ -115,9 +121,9 @@
         let Some(until) = call.backoff_until else {
             continue;
         };
-        let (first, rest) = *reported.entry(record.node).or_insert((call.at, until));
-        if rest != until {
-            reported.insert(record.node, (call.at, until));
+        let (first, known_until) = *announced.entry(record.node).or_insert((call.at, until));
+        if known_until != until {
+            announced.insert(record.node, (call.at, until));
             continue;
         }
         let is_crossing = call.at <= first + turnford_standin::BACKOFF_GRACE;
@@ -145,15 +151,15 @@
     let id = limit.target.id();
     // A later limit replaces this one, and the end of an earlier limit removes the current one.
     let others = all.iter().filter(|other| other.target.id() == id);
-    let cuts = others.flat_map(|other| [other.begin, other.end]);
-    let end = cuts.filter(|at| *at > limit.begin).min()?;
+    let boundaries = others.flat_map(|other| [other.begin, other.end]);
+    let end = boundaries.filter(|at| *at > limit.begin).min()?;
     let counts = |call: &TargetArrival| {
-        let lately = call.at.checked_sub(EXCUSE_PERIOD).unwrap_or(call.at);
+        let exempt_since = call.at.checked_sub(EXEMPTION_PERIOD).unwrap_or(call.at);
         match records.get(&call.attempt) {
-            Some(record) => !is_interrupted(interruptions, record.node, lately, call.at),
+            Some(record) => !is_interrupted(interruptions, record.node, exempt_since, call.at),
             None => !interruptions
                 .iter()
-                .any(|interval| interval.begin <= call.at && interval.end >= lately),
+                .any(|interval| interval.begin <= call.at && interval.end >= exempt_since),
         }
     };
     let calls = limit.target.arrivals().into_iter().filter(counts);
