--- a/packages/turnford-http/src/lib.rs
+++ b/packages/turnford-http/src/lib.rs
@@ -1,36 +1,36 @@
 //! HTTP/1.1 as every outside interface uses it: kept connections on the calling side, a bounded
 //! serving loop on the other. The protocol itself comes from `hyper`, over `async-io`.
 
-mod arrival;
 mod client;
-mod fault;
-mod link;
-mod link_state;
+mod connection;
+mod connection_state;
+mod error;
 mod listen;
 mod message;
+mod pool;
+mod receive;
 mod server;
-mod shelf;
 mod stream;
 
-pub use arrival::read_chunks;
-pub use arrival::ReceiveCounter;
-pub use arrival::ReceiveError;
-pub use arrival::ReceiveGuard;
-pub use arrival::ResponseTimeouts;
 pub use client::BufferedResponse;
 pub use client::HttpClient;
 pub use client::HttpStream;
-pub use fault::HttpError;
-pub use link::HttpConnection;
-pub use link_state::ConnectionLimits;
+pub use connection::HttpConnection;
+pub use connection_state::ConnectionLimits;
+pub use error::HttpError;
 pub use listen::serve_client;
 pub use message::HttpBody;
 pub use message::HttpRequest;
 pub use message::HttpResponse;
+pub use pool::ConnectionPool;
+pub use receive::read_chunks;
+pub use receive::ReceiveCounter;
+pub use receive::ReceiveError;
+pub use receive::ReceiveGuard;
+pub use receive::ResponseTimeouts;
 pub use server::bind_listener;
 pub use server::serve_connection;
 pub use server::BufferedRequest;
-pub use shelf::ConnectionPool;
 pub use stream::configure_stream;
 pub use stream::open_stream;
 pub use stream::probe_port;
--- a/packages/turnford-http/src/listen.rs
+++ b/packages/turnford-http/src/listen.rs
@@ -17,12 +17,12 @@
 use hyper::service::service_fn;
 use smol_hyper::rt::FuturesIo;
 
-use crate::link_state::ConnectionLimits;
-use crate::link_state::GuardedBody;
-use crate::link_state::LinkPhase;
-use crate::link_state::LinkState;
-use crate::link_state::LinkTimer;
-use crate::link_state::NotedStream;
+use crate::connection_state::ConnectionLimits;
+use crate::connection_state::GuardedBody;
+use crate::connection_state::LinkPhase;
+use crate::connection_state::LinkState;
+use crate::connection_state::LinkTimer;
+use crate::connection_state::NotedStream;
 
 /// Least size of the read buffer that the library accepts, in bytes.
 const LEAST_BUFFER: usize = 8192;
--- a/packages/turnford-platform/src/lib.rs
+++ b/packages/turnford-platform/src/lib.rs
@@ -4,15 +4,15 @@
 //! fleet. Every fault says whether a write can have taken effect.
 
 mod budget;
-mod fault;
-mod link;
+mod connection;
+mod error;
 mod object;
 mod vm;
 mod weight;
 
 pub use budget::CallBudget;
 pub use budget::CallCounts;
-pub use fault::PlatformError;
+pub use error::PlatformError;
 pub use object::ObjectClient;
 pub use object::ObjectEvent;
 pub use object::ObjectList;
--- a/packages/turnford-platform/src/object.rs
+++ b/packages/turnford-platform/src/object.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use turnford_http::BufferedResponse;
 
-use crate::link::PlatformLink;
+use crate::connection::PlatformLink;
 use crate::CallBudget;
 use crate::ObjectVersion;
 use crate::PlatformError;
--- a/packages/turnford-platform/src/vm.rs
+++ b/packages/turnford-platform/src/vm.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::link::PlatformLink;
+use crate::connection::PlatformLink;
 use crate::CallBudget;
 use crate::PlatformError;
 
--- a/packages/turnford-platform/src/weight.rs
+++ b/packages/turnford-platform/src/weight.rs
@@ -7,7 +7,7 @@
 use http::Method;
 use serde::Deserialize;
 
-use crate::link::PlatformLink;
+use crate::connection::PlatformLink;
 use crate::CallBudget;
 use crate::PlatformError;
 
--- a/packages/turnford-target/src/lib.rs
+++ b/packages/turnford-target/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod call;
 mod engine;
-mod fault;
+mod error;
 mod order;
 mod report;
 mod unary;
@@ -15,7 +15,7 @@
 pub use call::TargetResponse;
 pub use engine::EngineStream;
 pub use engine::StreamStep;
-pub use fault::TargetError;
+pub use error::TargetError;
 pub use report::CacheEvent;
 pub use report::CacheEvents;
 pub use report::TargetReport;
--- a/packages/turnford-wire/src/lib.rs
+++ b/packages/turnford-wire/src/lib.rs
@@ -7,9 +7,9 @@
 mod body;
 mod client;
 mod codec;
+mod compressed;
 mod limit;
 mod message;
-mod packed;
 mod route;
 mod server;
 
@@ -24,6 +24,7 @@
 pub use codec::FrameError;
 pub use codec::FRAME_LIMIT;
 pub use codec::PROTOCOL_VERSION;
+pub use compressed::CompressedText;
 pub use limit::LimitDigest;
 pub use limit::LimitReport;
 pub use limit::LimitUpdate;
@@ -31,7 +32,6 @@
 pub use limit::PermitReply;
 pub use message::PeerReply;
 pub use message::PeerRequest;
-pub use packed::CompressedText;
 pub use route::AdmitRequest;
 pub use route::AdmitStage;
 pub use route::BackoffUpdate;
