--- a/packages/turnford-http/src/client.rs
+++ b/packages/turnford-http/src/client.rs
@@ -1,5 +1,5 @@
-//! The calling side of the product's own interfaces: kept connections by address, bounded bodies,
-//! one time limit per exchange, or limits for an answer that may be large.
+//! HTTP client of the own interfaces: persistent connections by address, bounded bodies, and one timeout per
+//! exchange or separate timeouts for responses that may be large.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -40,33 +40,33 @@
 use crate::DEFAULT_BODY_LIMIT;
 use crate::LARGE_RESPONSE_LIMIT;
 
-/// Most idle connections kept to one address.
-const IDLE_LIMIT: usize = 64;
+/// Maximum number of idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// Longest line accepted in a streamed answer, in bytes.
-const LINE_LIMIT: usize = 64 * 1024;
+/// Maximum length of a line in a streamed response, in bytes.
+const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// Largest answer of [`HttpClient::send_large`], in bytes.
+/// Size limit of a response to [`HttpClient::send_large`], in bytes.
 const LARGE_BODY_LIMIT: usize = 512 * 1024 * 1024;
 
-/// The driver of a connection, which has to be polled for anything to happen on it.
-type LinkDriver = Connection<FuturesIo<TcpStream>, Full<Bytes>>;
+/// Future that performs the I/O of a connection.
+type ConnectionDriver = Connection<FuturesIo<TcpStream>, Full<Bytes>>;
 
-/// A connection that is driven by whoever waits for its answer.
-struct DrivenLink {
+/// A connection that is driven by the task that waits for its response.
+struct DrivenConnection {
     sender: SendRequest<Full<Bytes>>,
-    driver: Pin<Box<LinkDriver>>,
-    /// Whether the driver has ended.
+    driver: Pin<Box<ConnectionDriver>>,
+    /// Whether the driver has completed.
     is_done: bool,
     stream: TcpStream,
 }
 
-impl DrivenLink {
+impl DrivenConnection {
     async fn open(to: SocketAddr) -> Result<Self, HttpError> {
         let stream = open_stream(to).await;
         let stream = stream.map_err(|_| HttpError::NotConnected)?;
-        let shaken = http1::handshake(FuturesIo::new(stream.clone())).await;
-        let (sender, driver) = shaken.map_err(|_| HttpError::NotConnected)?;
+        let handshake = http1::handshake(FuturesIo::new(stream.clone())).await;
+        let (sender, driver) = handshake.map_err(|_| HttpError::NotConnected)?;
         Ok(Self {
             sender,
             driver: Box::pin(driver),
@@ -75,8 +75,8 @@
         })
     }
 
-    /// Tells whether nothing came since the last answer. A connection that shows bytes or an end
-    /// while idle belongs to no call any more; using it would give one call the answer of another.
+    /// Returns whether nothing was received since the last response. An idle connection with unread bytes
+    /// or an end of stream must not be reused: a request could receive the response to another one.
     fn is_quiet(&self) -> bool {
         let mut byte = [0_u8; 1];
         let peeked = future::block_on(future::poll_once(self.stream.peek(&mut byte)));
@@ -107,9 +107,9 @@
     }
 }
 
-/// Polls a step together with the driver of its connection until the step ends.
+/// Polls a step together with the driver of its connection until the step completes.
 async fn drive<T>(
-    driver: &mut Pin<Box<LinkDriver>>,
+    driver: &mut Pin<Box<ConnectionDriver>>,
     is_done: &mut bool,
     step: impl Future<Output = T>,
 ) -> T {
@@ -119,7 +119,7 @@
             return Poll::Ready(value);
         }
         if !*is_done {
-            // How the connection ends shows in the step.
+            // The step reports connection errors.
             *is_done = driver.as_mut().poll(context).is_ready();
         }
         step.as_mut().poll(context)
@@ -127,46 +127,46 @@
     .await
 }
 
-/// A client that keeps connections for reuse.
+/// HTTP client that reuses idle connections.
 #[derive(Default)]
 pub struct HttpClient {
-    idle: Mutex<HashMap<SocketAddr, Vec<DrivenLink>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<DrivenConnection>>>,
 }
 
-/// A whole answer.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct BufferedResponse {
-    /// Status code of the answer.
+    /// Status code of the response.
     pub status: u16,
-    /// Whole body, never cut.
+    /// Complete body, never truncated.
     pub body: Vec<u8>,
     headers: Vec<(String, String)>,
 }
 
-/// An answer whose body is read line by line as it comes.
+/// A response whose body is read line by line as it arrives.
 pub struct HttpStream<'a> {
-    /// Status code of the answer.
+    /// Status code of the response.
     pub status: u16,
     client: &'a HttpClient,
     address: SocketAddr,
-    link: DrivenLink,
+    connection: DrivenConnection,
     parts: http::response::Parts,
     body: Incoming,
-    /// Bytes read and not yet given out.
-    rest: BytesMut,
+    /// Received bytes that have not been returned yet.
+    buffer: BytesMut,
 }
 
 impl HttpClient {
-    /// Makes a client without connections.
+    /// Creates a client without connections.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Starts a request with a path such as `/run`.
+    /// Creates a request for a path such as `/run`.
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::NotConnected`] if the path is none.
+    /// Returns [`HttpError::NotConnected`] if the path does not start with a slash.
     pub fn request(method: Method, to: SocketAddr, path: &str) -> Result<HttpRequest, HttpError> {
         if !path.starts_with('/') {
             return Err(HttpError::NotConnected);
@@ -174,123 +174,137 @@
         Ok(HttpRequest::new(method, to, path))
     }
 
-    /// Sends a request and reads the whole answer within `limit`.
+    /// Sends a request and reads the complete response within `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns the fault, which tells whether the call can have been seen.
+    /// Returns an error that tells whether the server may have received the request.
     pub async fn send(
         &self,
         to: SocketAddr,
         request: HttpRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<BufferedResponse, HttpError> {
         let clock = SystemClock::new();
-        let mut open = self.open(to, request, limit).await?;
-        let left = limit.saturating_sub(clock.now());
-        let body = within(left, HttpError::TimeoutAfterSend, open.read_body()).await?;
-        Ok(open.finish(body))
+        let mut stream = self.open(to, request, timeout).await?;
+        let remaining = timeout.saturating_sub(clock.now());
+        let body = within(remaining, HttpError::TimeoutAfterSend, stream.read_body()).await?;
+        Ok(stream.finish(body))
     }
 
-    /// Sends a request and reads an answer of up to [`LARGE_RESPONSE_LIMIT`] for as long as it comes.
+    /// Sends a request and reads a response of up to [`LARGE_RESPONSE_LIMIT`] bytes as long as data keeps
+    /// arriving.
     ///
     /// # Errors
     ///
-    /// Returns the fault, which tells whether the call can have been seen.
+    /// Returns an error that tells whether the server may have received the request.
     pub async fn fetch(
         &self,
         to: SocketAddr,
         request: HttpRequest,
-        limit: &ResponseTimeouts,
+        timeouts: &ResponseTimeouts,
     ) -> Result<BufferedResponse, HttpError> {
-        let mut open = self.open(to, request, limit.first_byte).await?;
-        let next = async || open.next_chunk().await.transpose();
-        let body = read_chunks(limit, LARGE_RESPONSE_LIMIT, next).await;
-        let body = body.map_err(|fault| match fault {
+        let mut stream = self.open(to, request, timeouts.first_byte).await?;
+        let next = async || stream.next_chunk().await.transpose();
+        let body = read_chunks(timeouts, LARGE_RESPONSE_LIMIT, next).await;
+        let body = body.map_err(|error| match error {
             ReceiveError::Stalled(_) => HttpError::TimeoutAfterSend,
             ReceiveError::TooLarge => HttpError::TooLarge,
-            ReceiveError::Transport(fault) => fault,
+            ReceiveError::Transport(error) => error,
         })?;
-        Ok(open.finish(body))
+        Ok(stream.finish(body))
     }
 
-    /// Sends a request and reads an answer of up to 512 MiB, for tools.
+    /// Sends a request and reads a response of up to 512 MiB; for tools. `timeout` applies to the head of the
+    /// response and again to its body.
     ///
     /// # Errors
     ///
-    /// Returns the fault, which tells whether the call can have been seen.
+    /// Returns an error that tells whether the server may have received the request.
     pub async fn send_large(
         &self,
         to: SocketAddr,
         request: HttpRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<BufferedResponse, HttpError> {
-        let mut open = self.open(to, request, limit).await?;
-        let read = open.read_bounded(LARGE_BODY_LIMIT);
-        let body = within(limit, HttpError::TimeoutAfterSend, read).await?;
-        Ok(open.finish(body))
+        let mut stream = self.open(to, request, timeout).await?;
+        let read = stream.read_bounded(LARGE_BODY_LIMIT);
+        let body = within(timeout, HttpError::TimeoutAfterSend, read).await?;
+        Ok(stream.finish(body))
     }
 
-    /// Sends a request and returns once the head of the answer is there.
+    /// Sends a request and returns once the head of the response has arrived.
     ///
     /// # Errors
     ///
-    /// Returns the fault, which tells whether the call can have been seen.
+    /// Returns an error that tells whether the server may have received the request.
     pub async fn open(
         &self,
         to: SocketAddr,
         request: HttpRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<HttpStream<'_>, HttpError> {
         let clock = SystemClock::new();
         let request = encode(request)?;
-        let mut link = match self.take_idle(to) {
-            Some(link) => link,
-            None => within(limit, HttpError::TimeoutBeforeSend, DrivenLink::open(to)).await?,
+        let mut connection = match self.take_idle(to) {
+            Some(connection) => connection,
+            None => {
+                within(
+                    timeout,
+                    HttpError::TimeoutBeforeSend,
+                    DrivenConnection::open(to),
+                )
+                .await?
+            }
         };
-        let left = limit.saturating_sub(clock.now());
-        if left.is_zero() {
+        let remaining = timeout.saturating_sub(clock.now());
+        if remaining.is_zero() {
             return Err(HttpError::TimeoutBeforeSend);
         }
-        let response = within(left, HttpError::TimeoutAfterSend, link.send(request)).await?;
+        let response = within(
+            remaining,
+            HttpError::TimeoutAfterSend,
+            connection.send(request),
+        )
+        .await?;
         let (parts, body) = response.into_parts();
         Ok(HttpStream {
             status: parts.status.as_u16(),
             client: self,
             address: to,
-            link,
+            connection,
             parts,
             body,
-            rest: BytesMut::new(),
+            buffer: BytesMut::new(),
         })
     }
 
-    /// Takes a kept connection that the other side has not closed or written to.
-    fn take_idle(&self, to: SocketAddr) -> Option<DrivenLink> {
+    /// Takes an idle connection on which nothing has been received, not even its close.
+    fn take_idle(&self, to: SocketAddr) -> Option<DrivenConnection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let list = idle.get_mut(&to)?;
-        while let Some(link) = list.pop() {
-            if !link.is_done && link.is_quiet() {
-                return Some(link);
+        let connections = idle.get_mut(&to)?;
+        while let Some(connection) = connections.pop() {
+            if !connection.is_done && connection.is_quiet() {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn put_idle(&self, to: SocketAddr, link: DrivenLink) {
+    fn put_idle(&self, to: SocketAddr, connection: DrivenConnection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let list = idle.entry(to).or_default();
-        if list.len() < IDLE_LIMIT {
-            list.push(link);
+        let connections = idle.entry(to).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(connection);
         }
     }
 }
 
-/// Returns the request as the library sends it.
+/// Converts the request to the type that `hyper` sends.
 fn encode(request: HttpRequest) -> Result<Request<Full<Bytes>>, HttpError> {
     let mut builder = Request::builder().method(request.method).uri(request.path);
-    let names_host = request.headers.iter().any(|(name, _)| name == "host");
-    if !names_host {
+    let has_host = request.headers.iter().any(|(name, _)| name == "host");
+    if !has_host {
         builder = builder.header(http::header::HOST, request.to.to_string());
     }
     for (name, value) in request.headers {
@@ -301,7 +315,7 @@
 }
 
 impl BufferedResponse {
-    /// Returns a header's value by its lower-case name.
+    /// Returns the value of a header by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(key, _)| key == name);
         found.map(|(_, value)| value.as_str())
@@ -309,45 +323,46 @@
 }
 
 impl HttpStream<'_> {
-    /// Reads the next line without its end; `None` at the end of the body.
+    /// Reads the next line without its line feed; `None` at the end of the body.
     ///
     /// # Errors
     ///
     /// Returns [`HttpError::Disconnected`] if the connection fails, [`HttpError::TooLarge`] for a line
-    /// over the bound.
+    /// over the size limit.
     pub async fn next_line(&mut self) -> Result<Option<String>, HttpError> {
         loop {
-            if let Some(end) = self.rest.iter().position(|byte| *byte == b'\n') {
-                let line = self.rest.split_to(end + 1);
+            if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+                let line = self.buffer.split_to(end + 1);
                 let line = String::from_utf8_lossy(&line[..end]);
                 return Ok(Some(line.into_owned()));
             }
-            if self.rest.len() > LINE_LIMIT {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return Err(HttpError::TooLarge);
             }
             match self.next_chunk().await {
-                Ok(Some(chunk)) => self.rest.extend_from_slice(&chunk),
-                Ok(None) if self.rest.is_empty() => return Ok(None),
+                Ok(Some(chunk)) => self.buffer.extend_from_slice(&chunk),
+                Ok(None) if self.buffer.is_empty() => return Ok(None),
                 Ok(None) => return Err(HttpError::Truncated),
                 Err(_) => return Err(HttpError::Disconnected),
             }
         }
     }
 
-    /// Reads the rest of the body, which must have its announced length.
+    /// Reads the remaining body, up to [`DEFAULT_BODY_LIMIT`] bytes.
     ///
     /// # Errors
     ///
-    /// Returns the fault that kept the body from being whole.
+    /// Returns why the body could not be read completely; [`HttpError::Truncated`] if it ended before its
+    /// announced length.
     pub async fn read_body(&mut self) -> Result<Vec<u8>, HttpError> {
         self.read_bounded(DEFAULT_BODY_LIMIT).await
     }
 
-    async fn read_bounded(&mut self, bound: usize) -> Result<Vec<u8>, HttpError> {
-        let mut body = std::mem::take(&mut self.rest).to_vec();
+    async fn read_bounded(&mut self, max_bytes: usize) -> Result<Vec<u8>, HttpError> {
+        let mut body = std::mem::take(&mut self.buffer).to_vec();
         while let Some(chunk) = self.next_chunk().await? {
             body.extend_from_slice(&chunk);
-            if body.len() > bound {
+            if body.len() > max_bytes {
                 return Err(HttpError::TooLarge);
             }
         }
@@ -357,25 +372,25 @@
     async fn next_chunk(&mut self) -> Result<Option<Bytes>, HttpError> {
         loop {
             let frame = self.body.frame();
-            let link = &mut self.link;
-            let frame = drive(&mut link.driver, &mut link.is_done, frame).await;
+            let connection = &mut self.connection;
+            let frame = drive(&mut connection.driver, &mut connection.is_done, frame).await;
             match frame {
                 None => return Ok(None),
-                // Trailers say nothing that is used here.
+                // Trailers are ignored.
                 Some(Ok(frame)) => {
                     if let Ok(chunk) = frame.into_data() {
                         return Ok(Some(chunk));
                     }
                 }
                 Some(Err(error)) => {
-                    log::debug!("an answer broke off: {error}");
+                    log::debug!("failed to read a response body: {error}");
                     return Err(HttpError::Truncated);
                 }
             }
         }
     }
 
-    /// Returns the answer with its whole body, and gives the connection back.
+    /// Returns the response with its complete body and releases the connection for reuse.
     fn finish(self, body: Vec<u8>) -> BufferedResponse {
         let headers = self.headers();
         let status = self.status;
@@ -387,16 +402,16 @@
         }
     }
 
-    /// Gives the connection back for reuse. To be called only after the body's end was read.
+    /// Releases the connection for reuse. Must be called only after the end of the body was read.
     pub fn recycle(self) {
         let connection = self.parts.headers.get(http::header::CONNECTION);
         let closes = connection.is_some_and(|value| value.as_bytes() == b"close");
-        if !closes && !self.link.is_done {
-            self.client.put_idle(self.address, self.link);
+        if !closes && !self.connection.is_done {
+            self.client.put_idle(self.address, self.connection);
         }
     }
 
-    /// Returns the answer's headers, names in lower case.
+    /// Returns the headers of the response, with names in lower case.
     pub fn headers(&self) -> Vec<(String, String)> {
         let pairs = self.parts.headers.iter();
         let texts = pairs.filter_map(|(name, value)| {
@@ -407,15 +422,15 @@
     }
 }
 
-/// Runs a step under a time limit.
+/// Runs a step with a timeout; returns `error` if the timeout expires.
 async fn within<T>(
-    limit: Duration,
-    late: HttpError,
+    timeout: Duration,
+    error: HttpError,
     step: impl Future<Output = Result<T, HttpError>>,
 ) -> Result<T, HttpError> {
     let timer = async {
-        Timer::after(limit).await;
-        Err(late)
+        Timer::after(timeout).await;
+        Err(error)
     };
     step.or(timer).await
 }
--- a/packages/turnford-http/src/connection.rs
+++ b/packages/turnford-http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One kept connection towards a target, over `hyper`.
+//! A persistent connection to a server, over `hyper`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::open_stream;
 use crate::HttpError;
 
-/// A connection that takes one request at a time.
+/// A connection that carries one request at a time.
 #[derive(Debug)]
 pub struct HttpConnection {
     address: SocketAddr,
@@ -26,59 +26,59 @@
 }
 
 impl HttpConnection {
-    /// Opens a connection; `executor` drives it until it ends.
+    /// Opens a connection; `executor` drives it until it closes.
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::NotConnected`] if there is none within `limit`.
+    /// Returns [`HttpError::NotConnected`] if the connection cannot be opened within `timeout`.
     pub async fn open(
         executor: &LocalExecutor<'_>,
         address: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Self, HttpError> {
         let connect = async { open_stream(address).await.ok() };
-        let late = async {
-            Timer::after(limit).await;
+        let expired = async {
+            Timer::after(timeout).await;
             None
         };
-        let stream = connect.or(late).await.ok_or(HttpError::NotConnected)?;
+        let stream = connect.or(expired).await.ok_or(HttpError::NotConnected)?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(LINK_BUFFER);
+        builder.max_buf_size(MAX_READ_BUFFER);
         let (sender, connection) = builder
             .handshake(FuturesIo::new(stream))
             .await
             .map_err(|_| HttpError::NotConnected)?;
         let drive = async move {
-            // Its end shows in the exchange that uses it.
+            // The exchange that uses the connection reports the error.
             if let Err(error) = connection.await {
-                log::debug!("connection to {address} ended: {error}");
+                log::debug!("connection to {address} failed: {error}");
             }
         };
         executor.spawn(drive).detach();
         Ok(Self { address, sender })
     }
 
-    /// Returns the address of the other side.
+    /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells whether the connection can take a request now.
+    /// Returns whether the connection can carry a request now.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Tells whether the connection has ended.
+    /// Returns whether the connection has closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::NotConnected`] if no byte of the request was handed over, and
-    /// [`HttpError::Disconnected`] if it was and no answer came.
+    /// Returns [`HttpError::NotConnected`] if no byte of the request was sent, and
+    /// [`HttpError::Disconnected`] if the connection was lost after that.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -94,5 +94,5 @@
     }
 }
 
-/// Largest read buffer of a connection, in bytes: the head of an answer and some of its body.
-const LINK_BUFFER: usize = 64 * 1024;
+/// Maximum size of the read buffer, in bytes: the head of a response and part of its body.
+const MAX_READ_BUFFER: usize = 64 * 1024;
--- a/packages/turnford-http/src/connection_state.rs
+++ b/packages/turnford-http/src/connection_state.rs
@@ -1,4 +1,4 @@
-//! What happens on a client's connection, by which its time limits are kept.
+//! State of a client's connection, which selects the timeout that applies.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -17,106 +17,106 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-/// How long a client may take on a connection.
+/// Limits for a client on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Maximum time to receive a request head.
     pub header_timeout: Duration,
-    /// Longest rest between two requests.
+    /// Maximum idle time between two requests.
     pub idle_timeout: Duration,
 }
 
-/// What a connection does.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LinkPhase {
-    /// Nothing of a request has come.
+pub(crate) enum ConnectionPhase {
+    /// No byte of a request has been received.
     Idle,
-    /// A head has begun to arrive.
+    /// A request head is being received.
     Head,
-    /// A request is served.
+    /// A request is being served.
     Busy,
 }
 
-/// The phase of one connection, shared by its stream and its answers.
+/// State of one connection, shared by its stream and its response bodies.
 #[derive(Debug)]
-pub(crate) struct LinkState {
-    phase: Cell<LinkPhase>,
-    /// Rises with each change, so that a timer of an earlier phase is known as such.
+pub(crate) struct ConnectionState {
+    phase: Cell<ConnectionPhase>,
+    /// Number of phase changes; identifies timers of earlier phases.
     changes: Cell<u64>,
 }
 
-impl LinkState {
+impl ConnectionState {
     pub(crate) fn new() -> Rc<Self> {
         Rc::new(Self {
-            phase: Cell::new(LinkPhase::Idle),
+            phase: Cell::new(ConnectionPhase::Idle),
             changes: Cell::new(0),
         })
     }
 
-    fn enter(&self, phase: LinkPhase) {
+    fn enter(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         self.changes.set(self.changes.get() + 1);
     }
 
-    fn note_read(&self) {
-        if self.phase.get() == LinkPhase::Idle {
-            self.enter(LinkPhase::Head);
+    fn record_read(&self) {
+        if self.phase.get() == ConnectionPhase::Idle {
+            self.enter(ConnectionPhase::Head);
         }
     }
 
-    /// Notes that a request is served until the guard is dropped.
+    /// Enters the busy phase until the returned guard is dropped.
     pub(crate) fn serve(self: &Rc<Self>) -> BusyGuard {
-        self.enter(LinkPhase::Busy);
+        self.enter(ConnectionPhase::Busy);
         BusyGuard {
             state: self.clone(),
         }
     }
 }
 
-/// A request that is served.
+/// Keeps a connection in the busy phase until it is dropped.
 #[derive(Debug)]
 pub(crate) struct BusyGuard {
-    state: Rc<LinkState>,
+    state: Rc<ConnectionState>,
 }
 
 impl Drop for BusyGuard {
     fn drop(&mut self) {
-        self.state.enter(LinkPhase::Idle);
+        self.state.enter(ConnectionPhase::Idle);
     }
 }
 
-/// The timer of a connection's present phase.
-pub(crate) struct LinkTimer<L> {
-    state: Rc<LinkState>,
+/// Timer of a connection's current phase.
+pub(crate) struct PhaseTimer<L> {
+    state: Rc<ConnectionState>,
     limits: L,
     timer: Option<Timer>,
-    /// Change of the state that the timer was set for.
-    set_for: Option<u64>,
+    /// Phase change for which the timer was set.
+    armed_for: Option<u64>,
 }
 
-impl<L: Fn() -> ConnectionLimits> LinkTimer<L> {
-    pub(crate) fn new(state: Rc<LinkState>, limits: L) -> Self {
+impl<L: Fn() -> ConnectionLimits> PhaseTimer<L> {
+    pub(crate) fn new(state: Rc<ConnectionState>, limits: L) -> Self {
         Self {
             state,
             limits,
             timer: None,
-            set_for: None,
+            armed_for: None,
         }
     }
 
-    /// Returns the phase that took too long, as soon as one has.
-    pub(crate) fn poll_over(&mut self, context: &mut Context<'_>) -> Poll<LinkPhase> {
+    /// Resolves to the phase whose timeout has expired.
+    pub(crate) fn poll_expired(&mut self, context: &mut Context<'_>) -> Poll<ConnectionPhase> {
         let phase = self.state.phase.get();
         let change = self.state.changes.get();
-        if self.set_for != Some(change) {
-            self.set_for = Some(change);
+        if self.armed_for != Some(change) {
+            self.armed_for = Some(change);
             let limits = (self.limits)();
             self.timer = match phase {
-                LinkPhase::Idle => Some(Timer::after(limits.idle_timeout)),
-                LinkPhase::Head => Some(Timer::after(limits.header_timeout)),
-                LinkPhase::Busy => None,
+                ConnectionPhase::Idle => Some(Timer::after(limits.idle_timeout)),
+                ConnectionPhase::Head => Some(Timer::after(limits.header_timeout)),
+                ConnectionPhase::Busy => None,
             };
         }
         let Some(timer) = &mut self.timer else {
@@ -126,19 +126,19 @@
     }
 }
 
-/// A client's stream that tells when bytes come.
-pub(crate) struct NotedStream {
+/// TCP stream of a client that records received bytes in the connection's state.
+pub(crate) struct TrackedStream {
     stream: TcpStream,
-    state: Rc<LinkState>,
+    state: Rc<ConnectionState>,
 }
 
-impl NotedStream {
-    pub(crate) fn new(stream: TcpStream, state: Rc<LinkState>) -> Self {
+impl TrackedStream {
+    pub(crate) fn new(stream: TcpStream, state: Rc<ConnectionState>) -> Self {
         Self { stream, state }
     }
 }
 
-impl AsyncRead for NotedStream {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -146,13 +146,13 @@
     ) -> Poll<io::Result<usize>> {
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         if matches!(read, Poll::Ready(Ok(length)) if length > 0) {
-            self.state.note_read();
+            self.state.record_read();
         }
         read
     }
 }
 
-impl AsyncWrite for NotedStream {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -178,7 +178,7 @@
     }
 }
 
-/// The body of an answer, during which its connection is busy.
+/// Response body that keeps its connection in the busy phase.
 pub(crate) struct GuardedBody<B> {
     body: Pin<Box<B>>,
     _guard: BusyGuard,
--- a/packages/turnford-http/src/error.rs
+++ b/packages/turnford-http/src/error.rs
@@ -1,26 +1,27 @@
-//! What can go wrong in one HTTP exchange, with what is known of the bytes sent.
+//! Errors of HTTP exchanges, which tell whether the request may have been sent.
 
 use std::fmt;
 
-/// A failed exchange. The variant tells whether the other side can have seen the call.
+/// Error of an HTTP exchange. The variant tells whether the server may have received the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// No connection was made, so no byte of the call was handed over.
+    /// No connection could be opened, so no byte of the request was sent.
     NotConnected,
-    /// The call was handed over, wholly or in part, and no whole answer came back.
+    /// The connection was lost after some or all of the request was sent and before the response was
+    /// complete.
     Disconnected,
-    /// The time ran out before a byte was handed over.
+    /// The timeout expired before a byte of the request was sent.
     TimeoutBeforeSend,
-    /// The time ran out after the call was handed over.
+    /// The timeout expired after the request was sent.
     TimeoutAfterSend,
-    /// The answer's body is larger than the caller accepts.
+    /// The response body exceeds the caller's size limit.
     TooLarge,
-    /// The answer ended before its announced length.
+    /// The response ended before its announced length.
     Truncated,
 }
 
 impl HttpError {
-    /// Tells whether a byte of the call can have reached the other side.
+    /// Returns whether a byte of the request may have reached the server.
     pub fn was_sent(self) -> bool {
         !matches!(self, HttpError::NotConnected | HttpError::TimeoutBeforeSend)
     }
@@ -29,12 +30,12 @@
 impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            HttpError::NotConnected => "no connection",
-            HttpError::Disconnected => "connection broke after the call was sent",
-            HttpError::TimeoutBeforeSend => "out of time before the call was sent",
-            HttpError::TimeoutAfterSend => "out of time after the call was sent",
-            HttpError::TooLarge => "answer larger than allowed",
-            HttpError::Truncated => "answer cut short",
+            HttpError::NotConnected => "connection could not be opened",
+            HttpError::Disconnected => "connection lost after the request was sent",
+            HttpError::TimeoutBeforeSend => "timed out before the request was sent",
+            HttpError::TimeoutAfterSend => "timed out after the request was sent",
+            HttpError::TooLarge => "response exceeds the size limit",
+            HttpError::Truncated => "response truncated",
         };
         f.write_str(text)
     }
--- a/packages/turnford-http/src/lib.rs
+++ b/packages/turnford-http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as every outside interface uses it: kept connections on the calling side, a bounded
-//! serving loop on the other. The protocol itself comes from `hyper`, over `async-io`.
+//! HTTP/1.1 client and server for all external interfaces: a client with persistent connections, and a
+//! server with bounded requests. The protocol is implemented by `hyper`, over `async-io`.
 
 mod client;
 mod connection;
@@ -36,10 +36,10 @@
 pub use stream::probe_port;
 pub use stream::PortState;
 
-/// Largest head plus body that a client or server of this package accepts unless told otherwise,
-/// in bytes. The platform's values are bounded by a megabyte; the rest leaves room for framing.
+/// Default size limit of a message, in bytes. Values of the platform are at most one megabyte; the rest
+/// leaves room for framing.
 pub const DEFAULT_BODY_LIMIT: usize = 1_200_000;
 
-/// Largest answer of the platform that holds several values, in bytes: eight of the largest, a
-/// twentieth of a VM's memory.
+/// Size limit of a platform response with several values, in bytes: eight values of the maximum size, or
+/// a twentieth of a VM's memory.
 pub const LARGE_RESPONSE_LIMIT: usize = 8 * 1024 * 1024;
--- a/packages/turnford-http/src/listen.rs
+++ b/packages/turnford-http/src/listen.rs
@@ -1,4 +1,5 @@
-//! The serving side, over `hyper`: kept connections whose handler is dropped when the client leaves.
+//! Server side of clients' connections, over `hyper`: persistent connections whose handler is dropped when
+//! the client disconnects.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,22 +19,22 @@
 use smol_hyper::rt::FuturesIo;
 
 use crate::connection_state::ConnectionLimits;
+use crate::connection_state::ConnectionPhase;
+use crate::connection_state::ConnectionState;
 use crate::connection_state::GuardedBody;
-use crate::connection_state::LinkPhase;
-use crate::connection_state::LinkState;
-use crate::connection_state::LinkTimer;
-use crate::connection_state::NotedStream;
+use crate::connection_state::PhaseTimer;
+use crate::connection_state::TrackedStream;
 
-/// Least size of the read buffer that the library accepts, in bytes.
-const LEAST_BUFFER: usize = 8192;
+/// Minimum size of the read buffer that `hyper` accepts, in bytes.
+const MIN_READ_BUFFER: usize = 8192;
 
-/// Serves one client's connection until it ends.
+/// Serves a client's connection until it closes.
 ///
-/// The handler's future, and the body that it gave, are dropped as soon as the client closes. A
-/// body that ends with an error cuts the connection, so that the client never takes the answer for
-/// whole. Once `closing` ends, the connection closes after the answer under way, or at once where
-/// it rests. One that rests for too long, or on which a head takes too long, is closed; `limits` is asked
-/// anew for each request.
+/// The handler's future and the body it returned are dropped as soon as the client disconnects. A body that
+/// ends with an error closes the connection abruptly, so that the client does not mistake the response for a
+/// complete one. Once `closing` resolves, the connection closes after the current response, or at once if it
+/// is idle. A connection is also closed if it stays idle or receives a request head for too long; `limits` is
+/// evaluated again for each phase.
 pub async fn serve_client<L, F, Fut, B>(
     stream: TcpStream,
     limits: L,
@@ -47,25 +48,25 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a connection of a client can't be set up: {error}");
+        log::debug!("failed to configure a connection of a client: {error}");
         return;
     }
-    let state = LinkState::new();
+    let state = ConnectionState::new();
     let busy = state.clone();
     let service = service_fn(move |request| {
         let guard = busy.serve();
-        let answer = handler(request);
+        let response = handler(request);
         async move {
-            let answer = answer.await;
-            Ok::<_, Infallible>(answer.map(|body| GuardedBody::new(body, guard)))
+            let response = response.await;
+            Ok::<_, Infallible>(response.map(|body| GuardedBody::new(body, guard)))
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits().max_header_bytes.max(LEAST_BUFFER));
+    builder.max_buf_size(limits().max_header_bytes.max(MIN_READ_BUFFER));
     builder.auto_date_header(false);
-    let stream = NotedStream::new(stream, state.clone());
+    let stream = TrackedStream::new(stream, state.clone());
     let connection = builder.serve_connection(FuturesIo::new(stream), service);
-    let mut timer = LinkTimer::new(state, limits);
+    let mut timer = PhaseTimer::new(state, limits);
     let mut connection = pin!(connection);
     let mut closing = pin!(closing.recv());
     let mut is_closing = false;
@@ -77,21 +78,21 @@
         if let Poll::Ready(served) = connection.as_mut().poll(context) {
             return Poll::Ready(served);
         }
-        match timer.poll_over(context) {
-            // Closes at once: nothing is under way.
-            Poll::Ready(LinkPhase::Idle) if !is_closing => {
+        match timer.poll_expired(context) {
+            // No request is in progress, so the connection closes at once.
+            Poll::Ready(ConnectionPhase::Idle) if !is_closing => {
                 is_closing = true;
                 connection.as_mut().graceful_shutdown();
                 connection.as_mut().poll(context)
             }
             Poll::Ready(phase) => {
-                log::debug!("a connection of a client is closed: {phase:?} for too long");
+                log::debug!("closing a connection of a client: phase {phase:?} timed out");
                 Poll::Ready(Ok(()))
             }
             Poll::Pending => Poll::Pending,
         }
     });
     if let Err(error) = served.await {
-        log::debug!("a connection of a client ended: {error}");
+        log::debug!("connection of a client failed: {error}");
     }
 }
--- a/packages/turnford-http/src/message.rs
+++ b/packages/turnford-http/src/message.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the product's own interfaces.
+//! Requests and responses of the own interfaces.
 
 use std::fmt;
 use std::future::Future;
@@ -18,13 +18,14 @@
 use hyper::body::Frame;
 use hyper::body::SizeHint;
 
-/// The stream behind a body.
+/// Stream of the chunks of a body.
 type ChunkStream = Pin<Box<dyn Stream<Item = Vec<u8>> + Send>>;
 
-/// Time for the bytes of a cut body to arrive before the connection breaks off.
-const CUT_PAUSE: Duration = Duration::from_millis(30);
+/// Delay between the last byte of a truncated body and the end of the connection, so that the bytes arrive
+/// first.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(30);
 
-/// A request to an address.
+/// An outgoing request.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
     pub(crate) to: SocketAddr,
@@ -56,7 +57,7 @@
     }
 }
 
-/// An answer.
+/// An outgoing response.
 #[derive(Debug)]
 pub struct HttpResponse {
     pub(crate) status: StatusCode,
@@ -65,7 +66,7 @@
 }
 
 impl HttpResponse {
-    /// Makes an answer without a body.
+    /// Creates a response without a body.
     pub fn new(status: StatusCode) -> Self {
         Self {
             status,
@@ -95,35 +96,35 @@
     }
 }
 
-/// Body of an answer.
+/// Body of a response.
 pub enum HttpBody {
-    /// All bytes are there.
+    /// A body of known length.
     Full(Bytes),
-    /// Bytes come as they are made; their number is not known.
+    /// A stream of unknown length.
     Stream(ChunkStream),
-    /// Some bytes, then the connection breaks off; for tests of those who read.
+    /// Some bytes, after which the connection is closed abruptly; for testing clients.
     Truncated(Option<Bytes>, Timer),
 }
 
 impl HttpBody {
-    /// Makes a body of unknown length from chunks. Dropping the body drops the stream.
+    /// Creates a body of unknown length from a stream of chunks. Dropping the body drops the stream.
     pub fn stream(chunks: impl Stream<Item = Vec<u8>> + Send + 'static) -> Self {
         HttpBody::Stream(Box::pin(chunks))
     }
 
-    /// Makes a body that breaks off after some bytes.
+    /// Creates a body that ends abruptly after `bytes`.
     pub fn truncated(bytes: impl Into<Vec<u8>>) -> Self {
         let bytes = Bytes::from(bytes.into());
-        HttpBody::Truncated(Some(bytes), Timer::after(CUT_PAUSE))
+        HttpBody::Truncated(Some(bytes), Timer::after(TRUNCATION_DELAY))
     }
 }
 
 impl fmt::Debug for HttpBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HttpBody::Full(bytes) => write!(f, "Whole({} bytes)", bytes.len()),
+            HttpBody::Full(bytes) => write!(f, "Full({} bytes)", bytes.len()),
             HttpBody::Stream(_) => f.write_str("Stream"),
-            HttpBody::Truncated(..) => f.write_str("Cut"),
+            HttpBody::Truncated(..) => f.write_str("Truncated"),
         }
     }
 }
@@ -158,9 +159,9 @@
                 let chunk = chunks.as_mut().poll_next(context);
                 chunk.map(|chunk| chunk.map(|bytes| Ok(Frame::data(Bytes::from(bytes)))))
             }
-            HttpBody::Truncated(bytes, pause) => match bytes.take() {
+            HttpBody::Truncated(bytes, delay) => match bytes.take() {
                 Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
-                None => Pin::new(pause)
+                None => Pin::new(delay)
                     .poll(context)
                     .map(|_| Some(Err(io::ErrorKind::BrokenPipe.into()))),
             },
--- a/packages/turnford-http/src/pool.rs
+++ b/packages/turnford-http/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections by address, kept for reuse.
+//! Pool of idle connections by address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,72 +8,74 @@
 
 use crate::HttpConnection;
 
-/// Most idle connections kept to one address.
-const IDLE_LIMIT: usize = 32;
+/// Maximum number of idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 32;
 
-/// A connection at rest.
+/// An idle connection.
 #[derive(Debug)]
-struct IdleLink {
-    link: HttpConnection,
+struct IdleConnection {
+    connection: HttpConnection,
     since: Moment,
-    /// Rest after which the other side may close it.
-    keep: Duration,
+    /// Idle time after which the server may close the connection.
+    idle_timeout: Duration,
 }
 
-/// The idle connections of one thread.
+/// Pool of the idle connections of one thread.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    idle: HashMap<SocketAddr, Vec<IdleLink>>,
+    idle: HashMap<SocketAddr, Vec<IdleConnection>>,
 }
 
 impl ConnectionPool {
-    /// Takes a connection that is sure to be open, if one rests here.
+    /// Takes an idle connection that is known to be open, if there is one.
     ///
-    /// `rest_limit` is the longest rest that the caller accepts, beside that of the other side.
+    /// `max_idle` is the longest idle time that the caller accepts, in addition to the server's own timeout.
     pub fn take(
         &mut self,
         now: Moment,
         address: SocketAddr,
-        rest_limit: Duration,
+        max_idle: Duration,
     ) -> Option<HttpConnection> {
-        let links = self.idle.get_mut(&address)?;
-        links.retain(|idle| !idle.link.is_closed() && now.saturating_sub(idle.since) < idle.keep);
-        // The one used last is the least likely to be closed by the other side.
-        let last = links.last()?;
-        if now.saturating_sub(last.since) >= rest_limit || !last.link.is_ready() {
+        let connections = self.idle.get_mut(&address)?;
+        connections.retain(|idle| {
+            !idle.connection.is_closed() && now.saturating_sub(idle.since) < idle.idle_timeout
+        });
+        // The most recently used connection is the least likely to be closed by the server.
+        let last = connections.last()?;
+        if now.saturating_sub(last.since) >= max_idle || !last.connection.is_ready() {
             return None;
         }
-        links.pop().map(|idle| idle.link)
+        connections.pop().map(|idle| idle.connection)
     }
 
-    /// Lays a connection down for at most `keep`.
-    pub fn put(&mut self, now: Moment, link: HttpConnection, keep: Duration) {
-        if link.is_closed() || keep.is_zero() {
+    /// Returns a connection to the pool for at most `idle_timeout`.
+    pub fn put(&mut self, now: Moment, connection: HttpConnection, idle_timeout: Duration) {
+        if connection.is_closed() || idle_timeout.is_zero() {
             return;
         }
-        let links = self.idle.entry(link.address()).or_default();
-        if links.len() >= IDLE_LIMIT {
-            links.remove(0);
+        let connections = self.idle.entry(connection.address()).or_default();
+        if connections.len() >= MAX_IDLE_PER_ADDRESS {
+            connections.remove(0);
         }
-        links.push(IdleLink {
-            link,
+        connections.push(IdleConnection {
+            connection,
             since: now,
-            keep,
+            idle_timeout,
         });
     }
 
-    /// Closes the connections to an address.
+    /// Closes all idle connections to an address.
     pub fn close_all(&mut self, address: SocketAddr) {
         self.idle.remove(&address);
     }
 
-    /// Closes the connections whose time is over.
+    /// Closes the connections whose idle timeout has expired.
     pub fn close_expired(&mut self, now: Moment) {
-        for links in self.idle.values_mut() {
-            links.retain(|idle| {
-                !idle.link.is_closed() && now.saturating_sub(idle.since) < idle.keep
+        for connections in self.idle.values_mut() {
+            connections.retain(|idle| {
+                !idle.connection.is_closed() && now.saturating_sub(idle.since) < idle.idle_timeout
             });
         }
-        self.idle.retain(|_, links| !links.is_empty());
+        self.idle.retain(|_, connections| !connections.is_empty());
     }
 }
--- a/packages/turnford-http/src/receive.rs
+++ b/packages/turnford-http/src/receive.rs
@@ -1,4 +1,4 @@
-//! Answers that may be large: how long they may take, and whether one is arriving.
+//! Receiving of responses that may be large: timeouts, and a count of those in progress.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,60 +7,60 @@
 use bytes::Bytes;
 use futures_lite::FutureExt;
 
-/// Longest pause within an answer that is arriving. Lost packets are sent again within it; a
-/// connection that fell silent has to be found out before a change must be in force.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// Maximum idle time while a response is being received. Long enough for lost packets to be retransmitted;
+/// short enough to detect a dead connection before a configuration change has to be in force.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest time for a whole answer: the largest value of the platform's store arrives within it on a
-/// tenth of the smallest link.
-const LONGEST_ARRIVAL: Duration = Duration::from_secs(10);
+/// Maximum time to receive a response: enough for the largest value of the platform's store over a tenth
+/// of the slowest link.
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long an answer may take.
+/// Timeouts for receiving a response.
 ///
-/// An answer that is arriving is not given up for its size: what has come would be lost, and asking
-/// again takes the link from the next try: a node with a full link would ask for a large configuration
-/// for ever and never have it.
+/// A response that keeps arriving is not abandoned because it is large. Retrying would discard the received
+/// part and compete with the next attempt for the link, so a node on a saturated link would request a large
+/// configuration forever without receiving it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseTimeouts {
-    /// Time until the answer begins.
+    /// Time until the response begins.
     pub first_byte: Duration,
-    /// Time for each further part of it.
+    /// Time until each further chunk arrives.
     pub idle: Duration,
-    /// Time for all of it, once it has begun.
+    /// Time for the whole response once it has begun.
     pub total: Duration,
 }
 
 impl ResponseTimeouts {
-    /// Makes the limit of an answer that has to begin within some time.
-    pub const fn new(begin: Duration) -> Self {
+    /// Creates timeouts with the given first-byte timeout and default values otherwise.
+    pub const fn new(first_byte: Duration) -> Self {
         Self {
-            first_byte: begin,
-            idle: LONGEST_PAUSE,
-            total: LONGEST_ARRIVAL,
+            first_byte,
+            idle: IDLE_TIMEOUT,
+            total: TOTAL_TIMEOUT,
         }
     }
 }
 
-/// Why an answer that had begun did not come whole.
+/// Reason a response that had begun was not received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiveError<E> {
-    /// It stopped coming after so many bytes.
+    /// The response stalled, or exceeded the total timeout, after this many bytes.
     Stalled(usize),
-    /// It is larger than its reader takes.
+    /// The response exceeds the size limit.
     TooLarge,
-    /// It broke off.
+    /// The transport failed.
     Transport(E),
 }
 
-/// Reads the parts of an answer that has begun, of at most `bound` bytes, for as long as they come.
-/// `next` gives the next part, and `None` at the end.
+/// Reads the chunks of a response of at most `max_bytes` bytes, under the idle and total timeouts.
+/// `next` returns the next chunk, or `None` at the end.
 ///
 /// # Errors
 ///
-/// Returns why the answer did not come whole.
+/// Returns why the response was not received completely.
 pub async fn read_chunks<E>(
-    limit: &ResponseTimeouts,
-    bound: usize,
+    timeouts: &ResponseTimeouts,
+    max_bytes: usize,
     mut next: impl AsyncFnMut() -> Option<Result<Bytes, E>>,
 ) -> Result<Vec<u8>, ReceiveError<E>> {
     let received = Cell::new(0);
@@ -68,58 +68,58 @@
         let mut bytes = Vec::new();
         loop {
             let stalled = async {
-                Timer::after(limit.idle).await;
+                Timer::after(timeouts.idle).await;
                 Some(Err(ReceiveError::Stalled(received.get())))
             };
-            let part = async {
-                let part = next().await?;
-                Some(part.map_err(ReceiveError::Transport))
+            let chunk = async {
+                let chunk = next().await?;
+                Some(chunk.map_err(ReceiveError::Transport))
             };
-            let Some(part) = part.or(stalled).await else {
+            let Some(chunk) = chunk.or(stalled).await else {
                 return Ok(bytes);
             };
-            bytes.extend_from_slice(&part?);
+            bytes.extend_from_slice(&chunk?);
             received.set(bytes.len());
-            if bytes.len() > bound {
+            if bytes.len() > max_bytes {
                 return Err(ReceiveError::TooLarge);
             }
         }
     };
-    let over = async {
-        Timer::after(limit.total).await;
+    let expired = async {
+        Timer::after(timeouts.total).await;
         Err(ReceiveError::Stalled(received.get()))
     };
-    read.or(over).await
+    read.or(expired).await
 }
 
-/// Counts the answers that are arriving at a client.
+/// Number of responses that a client is receiving.
 #[derive(Debug, Default)]
 pub struct ReceiveCounter {
-    arriving: Cell<u32>,
+    active: Cell<u32>,
 }
 
-/// An answer that is arriving, until it is dropped.
+/// Counts one response as being received until the guard is dropped.
 #[derive(Debug)]
 pub struct ReceiveGuard<'a> {
-    count: &'a ReceiveCounter,
+    counter: &'a ReceiveCounter,
 }
 
 impl ReceiveCounter {
-    /// Notes that an answer begins.
+    /// Counts a response until the returned guard is dropped.
     pub fn begin(&self) -> ReceiveGuard<'_> {
-        self.arriving.set(self.arriving.get() + 1);
-        ReceiveGuard { count: self }
+        self.active.set(self.active.get() + 1);
+        ReceiveGuard { counter: self }
     }
 
-    /// Tells whether an answer is arriving.
+    /// Returns whether any response is being received.
     pub fn is_active(&self) -> bool {
-        self.arriving.get() > 0
+        self.active.get() > 0
     }
 }
 
 impl Drop for ReceiveGuard<'_> {
     fn drop(&mut self) {
-        let arriving = &self.count.arriving;
-        arriving.set(arriving.get() - 1);
+        let active = &self.counter.active;
+        active.set(active.get() - 1);
     }
 }
--- a/packages/turnford-http/src/server.rs
+++ b/packages/turnford-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The serving side of the product's own interfaces: bounded calls over kept connections.
+//! HTTP server of the own interfaces: bounded requests over persistent connections.
 
 use std::future::Future;
 use std::io;
@@ -21,31 +21,31 @@
 use crate::HttpBody;
 use crate::HttpResponse;
 
-/// One call with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
 pub struct BufferedRequest {
     /// Method in upper case, for example `POST`.
     pub method: String,
     /// Path without the query.
     pub path: String,
-    /// Body, within the server's bound.
+    /// Body, within the size limit of the server.
     pub body: Vec<u8>,
     query: Vec<(String, String)>,
     headers: Vec<(String, String)>,
 }
 
 impl BufferedRequest {
-    /// Returns a header's value by its lower-case name.
+    /// Returns the value of a header by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         lookup(&self.headers, name)
     }
 
-    /// Returns a parameter of the query.
+    /// Returns the value of a query parameter.
     pub fn query(&self, name: &str) -> Option<&str> {
         lookup(&self.query, name)
     }
 
-    /// Returns a numeric parameter of the query, or `default` if it is absent or no number.
+    /// Returns the value of a numeric query parameter, or `default` if it is absent or not a number.
     pub fn query_number(&self, name: &str, default: u64) -> u64 {
         self.query(name)
             .and_then(|text| text.parse().ok())
@@ -53,41 +53,41 @@
     }
 }
 
-/// Listens on an address; several listeners of one process share it by cloning.
+/// Binds a listener to an address. Clones of the listener share its socket.
 ///
 /// # Errors
 ///
-/// Returns the system's error, for example that the address is taken.
+/// Returns the I/O error, for example if the address is in use.
 pub fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     TcpListener::try_from(listener)
 }
 
-/// Serves the calls of one connection until it ends.
+/// Serves the requests of a connection until it closes.
 ///
-/// The handler's future, or the body that it streams, is dropped when the caller closes its side,
-/// which is how work for nobody is cancelled down to the target. A handler that returns `None`
-/// closes the connection without an answer.
+/// The handler's future, or the body that it streams, is dropped when the client closes the connection, which
+/// cancels abandoned work down to the target. A handler that returns `None` closes the connection without a
+/// response.
 pub async fn serve_connection<F, Fut>(stream: TcpStream, body_limit: usize, handler: F)
 where
     F: Fn(BufferedRequest) -> Fut,
     Fut: Future<Output = Option<HttpResponse>>,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a caller's connection can't be set up: {error}");
+        log::debug!("failed to configure a connection of a caller: {error}");
         return;
     }
-    let service = service_fn(|request| answer(request, body_limit, &handler));
+    let service = service_fn(|request| respond(request, body_limit, &handler));
     let mut builder = http1::Builder::new();
     builder.auto_date_header(false);
     let served = builder.serve_connection(FuturesIo::new(stream), service);
     if let Err(error) = served.await {
-        log::debug!("a caller's connection ended: {error}");
+        log::debug!("connection of a caller failed: {error}");
     }
 }
 
-async fn answer<F, Fut>(
+async fn respond<F, Fut>(
     request: Request<Incoming>,
     body_limit: usize,
     handler: &F,
@@ -96,22 +96,22 @@
     F: Fn(BufferedRequest) -> Fut,
     Fut: Future<Output = Option<HttpResponse>>,
 {
-    let Some(call) = read_call(request, body_limit).await else {
+    let Some(request) = read_request(request, body_limit).await else {
         let mut refusal = HttpResponse::new(StatusCode::PAYLOAD_TOO_LARGE);
         refusal.insert_header("connection", "close");
-        return write_answer(refusal);
+        return build_response(refusal);
     };
-    match handler(call).await {
-        Some(response) => write_answer(response),
-        // An error of the service closes the connection without an answer.
+    match handler(request).await {
+        Some(response) => build_response(response),
+        // An error of the service makes `hyper` close the connection without a response.
         None => Err(io::ErrorKind::ConnectionAborted.into()),
     }
 }
 
-fn write_answer(answer: HttpResponse) -> io::Result<Response<HttpBody>> {
-    let mut response = Response::new(answer.body);
-    *response.status_mut() = answer.status;
-    for (name, value) in answer.headers {
+fn build_response(source: HttpResponse) -> io::Result<Response<HttpBody>> {
+    let mut response = Response::new(source.body);
+    *response.status_mut() = source.status;
+    for (name, value) in source.headers {
         let name = HeaderName::try_from(name).map_err(io::Error::other)?;
         let value = HeaderValue::try_from(value).map_err(io::Error::other)?;
         response.headers_mut().insert(name, value);
@@ -119,7 +119,7 @@
     Ok(response)
 }
 
-async fn read_call(request: Request<Incoming>, body_limit: usize) -> Option<BufferedRequest> {
+async fn read_request(request: Request<Incoming>, body_limit: usize) -> Option<BufferedRequest> {
     let (parts, body) = request.into_parts();
     let body = Limited::new(body, body_limit).collect().await.ok()?;
     let query = parts.uri.query().unwrap_or("");
--- a/packages/turnford-http/tests/kept_connections.rs
+++ b/packages/turnford-http/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! Connections are used again only while nothing is left on them, and answers are whole or refused.
+//! A connection is reused only if nothing is left unread on it, and an incomplete response is an error.
 
 use std::io::Read;
 use std::io::Write;
@@ -14,35 +14,35 @@
 use turnford_http::HttpClient;
 use turnford_http::HttpError;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Serves connections, each call answered with the next text; tells of each connection made.
-fn serve(answers: Vec<&'static str>) -> (SocketAddr, Receiver<()>) {
+/// Serves connections and answers each request with the next text; sends a message for each connection.
+fn serve(responses: Vec<&'static str>) -> (SocketAddr, Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the port is known");
     let (made, connections) = channel();
     std::thread::spawn(move || {
-        let mut answers = answers.into_iter();
+        let mut responses = responses.into_iter();
         for stream in listener.incoming().flatten() {
             if made.send(()).is_err() {
                 return;
             }
-            serve_one(stream, &mut answers);
+            serve_one(stream, &mut responses);
         }
     });
     (address, connections)
 }
 
-fn serve_one(mut stream: TcpStream, answers: &mut impl Iterator<Item = &'static str>) {
+fn serve_one(mut stream: TcpStream, responses: &mut impl Iterator<Item = &'static str>) {
     let mut call = [0; 4096];
     while let Ok(length) = stream.read(&mut call) {
         if length == 0 {
             return;
         }
-        let Some(answer) = answers.next() else {
+        let Some(response) = responses.next() else {
             return;
         };
-        if stream.write_all(answer.as_bytes()).is_err() || answer.ends_with("half") {
+        if stream.write_all(response.as_bytes()).is_err() || response.ends_with("half") {
             return;
         }
     }
@@ -51,20 +51,20 @@
 fn call(
     client: &HttpClient,
     to: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<BufferedResponse, HttpError> {
     let request = HttpClient::request(Method::GET, to, "/")?;
-    async_io::block_on(client.send(to, request, limit))
+    async_io::block_on(client.send(to, request, timeout))
 }
 
 #[test]
-fn quiet_reused() {
-    let answer = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\none";
-    let (address, connections) = serve(vec![answer, answer]);
+fn idle_connection_reused() {
+    let response = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\none";
+    let (address, connections) = serve(vec![response, response]);
     let client = HttpClient::new();
     for _ in 0..2 {
         assert_eq!(
-            call(&client, address, LIMIT).map(|answer| answer.body),
+            call(&client, address, TIMEOUT).map(|response| response.body),
             Ok(b"one".to_vec())
         );
     }
@@ -73,7 +73,7 @@
 
 #[test]
 fn stray_answer() {
-    // An answer that nobody asked for lies on the first connection; the next call must not get it.
+    // The first connection holds a response that was not requested; the next request must not receive it.
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the port is known");
     let (go, started) = channel();
@@ -85,7 +85,7 @@
         first
             .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\none")
             .expect("sent");
-        started.recv().expect("the first answer was read");
+        started.recv().expect("the first response was read");
         first
             .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstray")
             .expect("sent");
@@ -97,11 +97,11 @@
             .expect("sent");
     });
     let client = HttpClient::new();
-    let first = call(&client, address, LIMIT).map(|answer| answer.body);
+    let first = call(&client, address, TIMEOUT).map(|response| response.body);
     assert_eq!(first, Ok(b"one".to_vec()));
     go.send(()).expect("the server waits");
-    strayed.recv().expect("the stray answer is sent");
-    let second = call(&client, address, LIMIT).map(|answer| answer.body);
+    strayed.recv().expect("the stray response is sent");
+    let second = call(&client, address, TIMEOUT).map(|response| response.body);
     assert_eq!(second, Ok(b"two".to_vec()));
     server.join().expect("the server ends");
 }
@@ -109,32 +109,35 @@
 #[test]
 fn cut_answer() {
     let (address, _connections) = serve(vec!["HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\nhalf"]);
-    let answer = call(&HttpClient::new(), address, LIMIT);
-    assert_eq!(answer.map(|answer| answer.body), Err(HttpError::Truncated));
+    let response = call(&HttpClient::new(), address, TIMEOUT);
+    assert_eq!(
+        response.map(|response| response.body),
+        Err(HttpError::Truncated)
+    );
 }
 
 #[test]
-fn nobody_there() {
+fn connection_refused() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the port is known");
     drop(listener);
-    let answer = call(&HttpClient::new(), address, LIMIT);
-    let fault = answer
-        .map(|answer| answer.status)
-        .expect_err("nobody listens");
-    assert_eq!((fault, fault.was_sent()), (HttpError::NotConnected, false));
+    let response = call(&HttpClient::new(), address, TIMEOUT);
+    let error = response
+        .map(|response| response.status)
+        .expect_err("nobody should listen");
+    assert_eq!((error, error.was_sent()), (HttpError::NotConnected, false));
 }
 
 #[test]
 fn silent_server() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the port is known");
-    let answer = call(&HttpClient::new(), address, Duration::from_millis(50));
-    let fault = answer
-        .map(|answer| answer.status)
-        .expect_err("nobody answers");
+    let response = call(&HttpClient::new(), address, Duration::from_millis(50));
+    let error = response
+        .map(|response| response.status)
+        .expect_err("the server should not respond");
     assert_eq!(
-        (fault, fault.was_sent()),
+        (error, error.was_sent()),
         (HttpError::TimeoutAfterSend, true)
     );
 }
--- a/packages/turnford-http/tests/large_answers.rs
+++ b/packages/turnford-http/tests/large_answers.rs
@@ -1,4 +1,4 @@
-//! A large answer is read for as long as it keeps coming.
+//! A large response is read as long as data keeps arriving.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,57 +17,63 @@
 use turnford_standin::LinkProxy;
 use turnford_standin::LinkState;
 
-/// Time in which an answer has to begin.
-const LIMIT: ResponseTimeouts = ResponseTimeouts::new(Duration::from_millis(300));
+/// Timeouts with a short time for the response to begin.
+const TIMEOUTS: ResponseTimeouts = ResponseTimeouts::new(Duration::from_millis(300));
 
-/// Bytes of a large answer.
-const SIZE: usize = 300_000;
+/// Size of a large response, in bytes.
+const RESPONSE_SIZE: usize = 300_000;
 
-/// What the slow link carries, in bytes a second: a large answer takes 1.5 s.
-const RATE: u32 = 200_000;
+/// Bandwidth of the slow link, in bytes per second: a large response takes 1.5 s.
+const LINK_RATE: u32 = 200_000;
 
-/// Serves large answers behind a proxy and asks for one.
-fn fetch_through(harm: impl FnOnce(LinkProxy)) -> Result<BufferedResponse, HttpError> {
+/// Serves large responses behind a proxy and requests one through it.
+fn fetch_through(disturb: impl FnOnce(LinkProxy)) -> Result<BufferedResponse, HttpError> {
     let executor = start_threads("standin", 2);
     let listener = bind_listener(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let address = listener.local_addr().expect("an address");
     let serve = async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let answer = |_| async {
-                let mut answer = HttpResponse::new(StatusCode::OK);
-                answer.set_body(vec![b'a'; SIZE]);
-                Some(answer)
+            let response = |_| async {
+                let mut response = HttpResponse::new(StatusCode::OK);
+                response.set_body(vec![b'a'; RESPONSE_SIZE]);
+                Some(response)
             };
-            serve_connection(stream, 1024, answer).await;
+            serve_connection(stream, 1024, response).await;
         }
     };
     executor.spawn(serve).detach();
     let link = LinkProxy::start(&executor, address).expect("a port");
-    link.set(LinkState::Throttled(RATE));
+    link.set(LinkState::Throttled(LINK_RATE));
     let to = link.address;
-    harm(link);
+    disturb(link);
     let request = HttpClient::request(Method::GET, to, "/list").expect("a path");
     let client = HttpClient::new();
-    async_io::block_on(client.fetch(to, request, &LIMIT))
+    async_io::block_on(client.fetch(to, request, &TIMEOUTS))
 }
 
 #[test]
-fn whole_fetch() {
-    let begun = Instant::now();
-    let answer = fetch_through(|_| {}).expect("an answer");
-    assert_eq!(answer.body.len(), SIZE);
-    assert!(begun.elapsed() > LIMIT.first_byte, "the link is slow");
+fn slow_fetch() {
+    let started = Instant::now();
+    let response = fetch_through(|_| {}).expect("a response");
+    assert_eq!(response.body.len(), RESPONSE_SIZE);
+    assert!(
+        started.elapsed() > TIMEOUTS.first_byte,
+        "the link should be slow"
+    );
 }
 
 #[test]
 fn stalled_fetch() {
-    let begun = Instant::now();
-    let answer = fetch_through(|link| {
+    let started = Instant::now();
+    let response = fetch_through(|link| {
         std::thread::spawn(move || {
             std::thread::sleep(Duration::from_millis(600));
             link.set(LinkState::Stalled);
         });
     });
-    assert_eq!(answer.err(), Some(HttpError::TimeoutAfterSend));
-    assert!(begun.elapsed() < Duration::from_secs(3), "given up soon");
+    assert_eq!(response.err(), Some(HttpError::TimeoutAfterSend));
+    assert!(
+        started.elapsed() < Duration::from_secs(3),
+        "a stalled response should be abandoned early"
+    );
 }
--- a/packages/turnford-http/tests/library_findings.rs
+++ b/packages/turnford-http/tests/library_findings.rs
@@ -1,4 +1,4 @@
-//! What an HTTP library must do for the routes; `async-h1` failed each of these.
+//! Requirements of the routes on the HTTP library. `async-h1` failed each of these tests.
 
 use std::io::Read;
 use std::io::Write;
@@ -24,10 +24,10 @@
 use turnford_http::ConnectionLimits;
 use turnford_http::HttpConnection;
 
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves one connection that is answered with some bytes and then closed.
-fn serve_once(answer: &'static [u8]) -> SocketAddr {
+/// Accepts one connection, answers its first request with `response` and closes it.
+fn serve_once(response: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the port is known");
     std::thread::spawn(move || {
@@ -35,21 +35,21 @@
         let mut call = [0; 4096];
         let length = stream.read(&mut call).expect("a call");
         assert!(length > 0);
-        stream.write_all(answer).expect("sent");
+        stream.write_all(response).expect("sent");
     });
     address
 }
 
-fn read_answer(to: SocketAddr) -> Option<Bytes> {
+fn read_response(to: SocketAddr) -> Option<Bytes> {
     let executor = LocalExecutor::new();
     async_io::block_on(executor.run(async {
-        let mut link = HttpConnection::open(&executor, to, LIMIT)
+        let mut connection = HttpConnection::open(&executor, to, TIMEOUT)
             .await
             .expect("a connection");
         let request = Request::builder().uri("/").header("host", "h");
         let request = request.body(Full::new(Bytes::new())).expect("a request");
-        let answer = link.send(request).await.expect("a head");
-        let body = answer.into_body().collect().await;
+        let response = connection.send(request).await.expect("a head");
+        let body = response.into_body().collect().await;
         body.ok().map(http_body_util::Collected::to_bytes)
     }))
 }
@@ -57,38 +57,41 @@
 #[test]
 fn unsized_body() {
     let address = serve_once(b"HTTP/1.1 200 OK\r\n\r\nall of it");
-    assert_eq!(read_answer(address), Some(Bytes::from_static(b"all of it")));
+    assert_eq!(
+        read_response(address),
+        Some(Bytes::from_static(b"all of it"))
+    );
 }
 
 #[test]
 fn short_body() {
     let address = serve_once(b"HTTP/1.1 200 OK\r\ncontent-length: 90\r\n\r\nhalf");
-    assert_eq!(read_answer(address), None);
+    assert_eq!(read_response(address), None);
 }
 
 #[test]
 fn second_answer() {
-    // Bytes after a whole answer end the connection; they are no answer to the next request.
+    // Bytes after a complete response close the connection; they must not answer the next request.
     let both = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\noneHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\ntwo";
     let address = serve_once(both);
     let executor = LocalExecutor::new();
     async_io::block_on(executor.run(async {
-        let mut link = HttpConnection::open(&executor, address, LIMIT)
+        let mut connection = HttpConnection::open(&executor, address, TIMEOUT)
             .await
             .expect("a connection");
         let request = || {
             let request = Request::builder().uri("/").header("host", "h");
             request.body(Full::new(Bytes::new())).expect("a request")
         };
-        let answer = link.send(request()).await.expect("a head");
-        let body = answer.into_body().collect().await.expect("a body");
+        let response = connection.send(request()).await.expect("a head");
+        let body = response.into_body().collect().await.expect("a body");
         assert_eq!(body.to_bytes(), Bytes::from_static(b"one"));
         Timer::after(Duration::from_millis(50)).await;
-        assert!(link.is_closed() || link.send(request()).await.is_err());
+        assert!(connection.is_closed() || connection.send(request()).await.is_err());
     }));
 }
 
-/// Tells when it is dropped.
+/// Sets a flag when it is dropped.
 struct DropFlag(Arc<AtomicBool>);
 
 impl Drop for DropFlag {
@@ -102,8 +105,8 @@
     let listener = bind_listener(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
     let address = listener.local_addr().expect("the port is known");
     let dropped = Arc::new(AtomicBool::new(false));
-    let begun = Arc::new(AtomicBool::new(false));
-    let flags = (dropped.clone(), begun.clone());
+    let started = Arc::new(AtomicBool::new(false));
+    let flags = (dropped.clone(), started.clone());
     std::thread::spawn(move || {
         async_io::block_on(async {
             let (stream, _) = listener.accept().await.expect("a connection");
@@ -129,15 +132,18 @@
     stream
         .write_all(b"GET / HTTP/1.1\r\nhost: h\r\n\r\n")
         .expect("sent");
-    wait(&begun);
+    wait(&started);
     drop(stream);
     wait(&dropped);
 }
 
 fn wait(flag: &AtomicBool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !flag.load(Ordering::SeqCst) {
-        assert!(begun.elapsed() < LIMIT, "not within {LIMIT:?}");
+        assert!(
+            started.elapsed() < TIMEOUT,
+            "flag not set within {TIMEOUT:?}"
+        );
         std::thread::sleep(Duration::from_millis(2));
     }
 }
--- a/packages/turnford-http/tests/silent_connections.rs
+++ b/packages/turnford-http/tests/silent_connections.rs
@@ -1,6 +1,6 @@
-//! Connections ask whether the other side is there.
+//! Connections are configured to detect a peer that stops responding.
 //!
-//! A peer on loopback always answers such questions, so the test looks at what the system was told.
+//! A peer on loopback always answers keepalive probes, so the test checks the socket options.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use turnford_http::configure_stream;
 use turnford_http::open_stream;
 
-/// Time in which a silent connection has to be found out.
-const BOUND: Duration = Duration::from_secs(5);
+/// Time in which a dead connection has to be detected.
+const DETECTION_TIME: Duration = Duration::from_secs(5);
 
 #[test]
 fn both_sides() {
@@ -25,10 +25,13 @@
         for stream in [&opened, &accepted] {
             assert!(stream.nodelay().expect("an option"));
             assert!(socket_keepalive(stream).expect("an option"));
-            assert!(tcp_keepidle(stream).expect("an option") < BOUND);
-            let silence = tcp_user_timeout(stream).expect("an option");
-            let silence = Duration::from_millis(u64::from(silence));
-            assert!(!silence.is_zero() && silence < BOUND, "{silence:?}");
+            assert!(tcp_keepidle(stream).expect("an option") < DETECTION_TIME);
+            let user_timeout = tcp_user_timeout(stream).expect("an option");
+            let user_timeout = Duration::from_millis(u64::from(user_timeout));
+            assert!(
+                !user_timeout.is_zero() && user_timeout < DETECTION_TIME,
+                "{user_timeout:?}"
+            );
         }
     });
 }
--- a/packages/turnford-http/tests/slow_heads.rs
+++ b/packages/turnford-http/tests/slow_heads.rs
@@ -1,4 +1,4 @@
-//! Connections of clients end that rest for too long, or on which a head does not arrive.
+//! Connections of clients close if they stay idle, or receive a request head, for too long.
 
 use std::io::Read;
 use std::io::Write;
@@ -18,19 +18,19 @@
 use turnford_http::serve_client;
 use turnford_http::ConnectionLimits;
 
-const HEAD_SPAN: Duration = Duration::from_millis(300);
+const HEADER_TIMEOUT: Duration = Duration::from_millis(300);
 
-const IDLE_SPAN: Duration = Duration::from_millis(900);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time that the server takes for an answer: longer than both limits.
-const ANSWER_SPAN: Duration = Duration::from_millis(1500);
+/// Time that the server takes to respond: longer than both timeouts.
+const RESPONSE_TIME: Duration = Duration::from_millis(1500);
 
-/// Longest time for anything in these tests.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Upper bound for each wait of these tests.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 const WHOLE_HEAD: &[u8] = b"GET / HTTP/1.1\r\nhost: h\r\n\r\n";
 
-/// Serves one connection, and answers `/slow` after a while.
+/// Serves one connection, with a delayed response to `/slow`, and connects to it.
 fn connect() -> TcpStream {
     let listener = bind_listener(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
     let address = listener.local_addr().expect("the port is known");
@@ -40,89 +40,89 @@
             let (_open, closing) = async_channel::bounded(1);
             let handler = Rc::new(|request: Request<Incoming>| async move {
                 if request.uri().path() == "/slow" {
-                    Timer::after(ANSWER_SPAN).await;
+                    Timer::after(RESPONSE_TIME).await;
                 }
                 Response::new(Full::new(Bytes::from_static(b"done")))
             });
             let limits = || ConnectionLimits {
                 max_header_bytes: 8192,
-                header_timeout: HEAD_SPAN,
-                idle_timeout: IDLE_SPAN,
+                header_timeout: HEADER_TIMEOUT,
+                idle_timeout: IDLE_TIMEOUT,
             };
             serve_client(stream, limits, closing, handler).await;
         });
     });
     let stream = TcpStream::connect(address).expect("a connection");
     stream
-        .set_read_timeout(Some(LIMIT))
-        .expect("a limit for reads");
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("read timeout should be set");
     stream
 }
 
-/// Reads until the server closes; returns how long that took.
+/// Reads until the server closes the connection and returns how long that took.
 fn wait_closed(stream: &mut TcpStream) -> Duration {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).expect("closed in time");
-    began.elapsed()
+    started.elapsed()
 }
 
-fn read_answer(stream: &mut TcpStream) {
-    let mut answer = Vec::new();
+fn read_response(stream: &mut TcpStream) {
+    let mut response = Vec::new();
     let mut byte = [0];
-    while !answer.ends_with(b"done") {
-        stream.read_exact(&mut byte).expect("an answer");
-        answer.push(byte[0]);
+    while !response.ends_with(b"done") {
+        stream.read_exact(&mut byte).expect("a response");
+        response.push(byte[0]);
     }
 }
 
-/// Guards against connections that are held for ever by heads that never end.
+/// Guards against connections that are held forever by an incomplete head.
 #[test]
-fn half_head() {
+fn incomplete_head() {
     let mut stream = connect();
     stream.write_all(b"GET / HTTP/1.1\r\nhos").expect("sent");
-    assert!(wait_closed(&mut stream) >= HEAD_SPAN / 2);
+    assert!(wait_closed(&mut stream) >= HEADER_TIMEOUT / 2);
 }
 
-/// Guards against a head that is kept alive by a byte now and then.
+/// Guards against a timeout that is restarted by each byte of a head.
 #[test]
-fn dripping_head() {
+fn slow_head() {
     let mut stream = connect();
     let mut writer = stream.try_clone().expect("a second handle");
     let drip = std::thread::spawn(move || {
-        let began = Instant::now();
-        while began.elapsed() < LIMIT && writer.write_all(b"x").is_ok() {
-            std::thread::sleep(HEAD_SPAN / 6);
+        let started = Instant::now();
+        while started.elapsed() < TEST_TIMEOUT && writer.write_all(b"x").is_ok() {
+            std::thread::sleep(HEADER_TIMEOUT / 6);
         }
     });
     let mut byte = [0];
-    // A reset is an end too.
+    // A reset also closes the connection.
     let end = stream.read(&mut byte);
     assert!(matches!(end, Ok(0) | Err(_)), "{end:?}");
     drip.join().expect("the writer ends");
 }
 
-/// Guards against connections that rest for ever, before the first request and after it.
+/// Guards against connections that stay idle forever, before the first request and after it.
 #[test]
-fn resting_link() {
+fn idle_connection() {
     let mut stream = connect();
-    assert!(wait_closed(&mut stream) >= IDLE_SPAN / 2);
+    assert!(wait_closed(&mut stream) >= IDLE_TIMEOUT / 2);
     let mut stream = connect();
     stream.write_all(WHOLE_HEAD).expect("sent");
-    read_answer(&mut stream);
-    assert!(wait_closed(&mut stream) >= IDLE_SPAN / 2);
+    read_response(&mut stream);
+    assert!(wait_closed(&mut stream) >= IDLE_TIMEOUT / 2);
 }
 
-/// Guards against a request that is cut for the time that it takes, or a kept connection that is closed
-/// before its rest is over.
+/// Guards against a timeout while a request is being served, and against closing an idle connection before
+/// its timeout.
 #[test]
-fn busy_link() {
+fn busy_connection() {
     let mut stream = connect();
     stream
         .write_all(b"GET /slow HTTP/1.1\r\nhost: h\r\n\r\n")
         .expect("sent");
-    read_answer(&mut stream);
-    std::thread::sleep(IDLE_SPAN / 3);
+    read_response(&mut stream);
+    std::thread::sleep(IDLE_TIMEOUT / 3);
     stream.write_all(WHOLE_HEAD).expect("sent");
-    read_answer(&mut stream);
+    read_response(&mut stream);
 }
