--- a/packages/turnford-platform/src/budget.rs
+++ b/packages/turnford-platform/src/budget.rs
@@ -1,4 +1,4 @@
-//! The node's budget of calls to the platform.
+//! Rate limit of a node's calls to the platform.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -9,10 +9,10 @@
 use turnford_policy::Clock;
 use turnford_policy::Moment;
 
-/// Seconds of the rate that may be used at once.
+/// Burst size of the token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// Counted calls since the start.
+/// Numbers of calls since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Reads, lists and watches.
@@ -23,7 +23,7 @@
     pub refused: u64,
 }
 
-/// Token bucket over all calls of one node.
+/// Token bucket for all calls of one node.
 pub struct CallBudget {
     rate: f64,
     clock: Arc<dyn Clock>,
@@ -34,12 +34,12 @@
 }
 
 impl CallBudget {
-    /// Makes a budget of `rate` calls a second.
+    /// Creates a budget of `rate` calls per second.
     pub fn new(rate: f64, clock: Arc<dyn Clock>) -> Self {
-        let full = (rate * BURST_SECONDS).max(1.0);
+        let capacity = (rate * BURST_SECONDS).max(1.0);
         Self {
             rate,
-            bucket: Mutex::new((full, clock.now())),
+            bucket: Mutex::new((capacity, clock.now())),
             clock,
             reads: AtomicU64::new(0),
             writes: AtomicU64::new(0),
@@ -47,17 +47,17 @@
         }
     }
 
-    /// Takes one read; false if the budget is used up.
+    /// Takes a token for a read. Returns false if the budget is exhausted.
     pub fn take_read(&self) -> bool {
         self.take(&self.reads)
     }
 
-    /// Takes one write; false if the budget is used up.
+    /// Takes a token for a write. Returns false if the budget is exhausted.
     pub fn take_write(&self) -> bool {
         self.take(&self.writes)
     }
 
-    /// Returns the counted calls.
+    /// Returns the numbers of calls.
     pub fn counts(&self) -> CallCounts {
         CallCounts {
             reads: self.reads.load(Ordering::Relaxed),
@@ -68,11 +68,11 @@
 
     fn take(&self, counter: &AtomicU64) -> bool {
         let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
-        let (tokens, filled_at) = *bucket;
+        let (tokens, refilled_at) = *bucket;
         let now = self.clock.now();
-        let earned = now.saturating_sub(filled_at).as_secs_f64() * self.rate;
-        let full = (self.rate * BURST_SECONDS).max(1.0);
-        let tokens = (tokens + earned).min(full);
+        let refill = now.saturating_sub(refilled_at).as_secs_f64() * self.rate;
+        let capacity = (self.rate * BURST_SECONDS).max(1.0);
+        let tokens = (tokens + refill).min(capacity);
         let granted = tokens >= 1.0;
         *bucket = (if granted { tokens - 1.0 } else { tokens }, now);
         let counter = if granted { counter } else { &self.refused };
--- a/packages/turnford-platform/src/connection.rs
+++ b/packages/turnford-platform/src/connection.rs
@@ -1,4 +1,4 @@
-//! What every client of the platform has: connections, an address and a budget of calls.
+//! Transport shared by the clients of the platform: connections, an address and a call budget.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 use crate::CallBudget;
 use crate::PlatformError;
 
-/// Connections to one of the platform's services.
+/// Connections to one service of the platform.
 #[derive(Clone)]
-pub(crate) struct PlatformLink {
+pub(crate) struct PlatformConnection {
     http: Arc<HttpClient>,
     address: SocketAddr,
     pub(crate) budget: Arc<CallBudget>,
 }
 
-impl PlatformLink {
+impl PlatformConnection {
     pub(crate) fn new(address: SocketAddr, budget: Arc<CallBudget>) -> Self {
         Self {
             http: Arc::new(HttpClient::new()),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Starts a call that reads, if the budget has one.
+    /// Creates a read request and takes it from the budget.
     pub(crate) fn read(&self, method: Method, path: &str) -> Result<HttpRequest, PlatformError> {
         if !self.budget.take_read() {
             return Err(PlatformError::OverBudget);
@@ -38,7 +38,7 @@
         Ok(HttpClient::request(method, self.address, path)?)
     }
 
-    /// Starts a call that writes, if the budget has one.
+    /// Creates a write request and takes it from the budget.
     pub(crate) fn write(&self, method: Method, path: &str) -> Result<HttpRequest, PlatformError> {
         if !self.budget.take_write() {
             return Err(PlatformError::OverBudget);
@@ -46,13 +46,13 @@
         Ok(HttpClient::request(method, self.address, path)?)
     }
 
-    /// Makes a call whose answer has to begin within `limit`.
+    /// Sends a request. The response must begin within `timeout`.
     pub(crate) async fn send(
         &self,
         request: HttpRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<BufferedResponse, PlatformError> {
-        let limit = ResponseTimeouts::new(limit);
-        Ok(self.http.fetch(self.address, request, &limit).await?)
+        let timeouts = ResponseTimeouts::new(timeout);
+        Ok(self.http.fetch(self.address, request, &timeouts).await?)
     }
 }
--- a/packages/turnford-platform/src/error.rs
+++ b/packages/turnford-platform/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a call to the platform.
+//! Errors of calls to the platform.
 
 use std::fmt;
 
@@ -6,40 +6,40 @@
 
 use crate::ObjectVersion;
 
-/// A failed call.
+/// Error of a call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
-    /// The call had no effect: it was not sent, or the platform refused it.
+    /// The call had no effect because it was not sent or the platform rejected it.
     Unavailable,
-    /// The call was sent and its answer is lost; a write may have taken effect.
+    /// The call was sent and its response was lost; a write may have taken effect.
     ResponseLost,
-    /// The condition of a write does not hold.
+    /// The precondition of a write does not hold.
     Conflict {
-        /// Version that the object has.
+        /// Current version of the object.
         current: ObjectVersion,
     },
-    /// No such object.
+    /// The object does not exist.
     NotFound,
-    /// The watch asked for changes that are no longer kept; the list must be read again.
+    /// The platform no longer keeps the changes that a watch asked for; the objects must be listed again.
     HistoryExpired,
-    /// The node's own budget of calls is used up.
+    /// The node's own call budget is exhausted.
     OverBudget,
-    /// The value is larger than the platform takes.
+    /// The value exceeds [`VALUE_LIMIT`](crate::VALUE_LIMIT).
     TooLarge,
-    /// The answer could not be understood.
+    /// The response cannot be decoded.
     Malformed,
 }
 
 impl PlatformError {
-    /// Tells whether a write may have taken effect although it failed.
+    /// Returns whether a write may have taken effect although it failed.
     pub fn may_have_written(&self) -> bool {
         matches!(self, PlatformError::ResponseLost | PlatformError::Malformed)
     }
 }
 
 impl From<HttpError> for PlatformError {
-    fn from(fault: HttpError) -> Self {
-        if fault.was_sent() {
+    fn from(error: HttpError) -> Self {
+        if error.was_sent() {
             PlatformError::ResponseLost
         } else {
             PlatformError::Unavailable
@@ -50,16 +50,18 @@
 impl fmt::Display for PlatformError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlatformError::Unavailable => f.write_str("the platform is not available"),
-            PlatformError::ResponseLost => f.write_str("the platform's answer was lost"),
+            PlatformError::Unavailable => f.write_str("the platform is unavailable"),
+            PlatformError::ResponseLost => f.write_str("the response of the platform was lost"),
             PlatformError::Conflict { current } => {
-                write!(f, "the object has version {current}")
+                write!(f, "version conflict: the object has version {current}")
             }
             PlatformError::NotFound => f.write_str("no such object"),
-            PlatformError::HistoryExpired => f.write_str("the changes are no longer kept"),
-            PlatformError::OverBudget => f.write_str("the node's budget of calls is used up"),
-            PlatformError::TooLarge => f.write_str("the value is too large"),
-            PlatformError::Malformed => f.write_str("the platform's answer is not understood"),
+            PlatformError::HistoryExpired => {
+                f.write_str("the requested changes are no longer kept")
+            }
+            PlatformError::OverBudget => f.write_str("the node's call budget is exhausted"),
+            PlatformError::TooLarge => f.write_str("the value exceeds the size limit"),
+            PlatformError::Malformed => f.write_str("malformed response of the platform"),
         }
     }
 }
--- a/packages/turnford-platform/src/lib.rs
+++ b/packages/turnford-platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Clients of what the platform gives: the object API, the VM list and the weight store.
+//! Clients of the platform's services: the object API, the VM list and the weight store.
 //!
-//! Each call is counted against a budget, because the platform's rates grow more slowly than the
-//! fleet. Every fault says whether a write can have taken effect.
+//! Each call counts against a budget, because the platform's rate limits grow more slowly than the fleet.
+//! Every error tells whether a write may have taken effect.
 
 mod budget;
 mod connection;
@@ -23,8 +23,8 @@
 pub use vm::VmState;
 pub use weight::WeightClient;
 
-/// Version of an object: the revision of the write that made it, rising over all objects.
+/// Version of an object: the revision of its last write. Revisions increase over all objects.
 pub type ObjectVersion = u64;
 
-/// Largest value that the object API takes, in bytes.
+/// Maximum size of a value in the object API, in bytes.
 pub const VALUE_LIMIT: usize = 1_000_000;
--- a/packages/turnford-platform/src/object.rs
+++ b/packages/turnford-platform/src/object.rs
@@ -1,4 +1,4 @@
-//! The object API.
+//! Client of the object API.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,31 +11,32 @@
 use serde::Serialize;
 use turnford_http::BufferedResponse;
 
-use crate::connection::PlatformLink;
+use crate::connection::PlatformConnection;
 use crate::CallBudget;
 use crate::ObjectVersion;
 use crate::PlatformError;
 use crate::VALUE_LIMIT;
 
-/// Header with an object's version.
+/// Header with the version of an object.
 const VERSION_HEADER: &str = "object-version";
 
 /// Header with the version that a write expects.
 const GUARD_HEADER: &str = "if-version";
 
-/// Header with the milliseconds since the platform last came back from a copy, or [`NEVER_RESTORED`].
+/// Header with the time since the platform was last restored from a backup, in milliseconds, or
+/// [`NEVER_RESTORED`].
 const RESTORED_HEADER: &str = "object-restored-ms";
 
-/// Value of that header where the platform never did.
+/// Value of [`RESTORED_HEADER`] if the platform was never restored.
 const NEVER_RESTORED: &str = "never";
 
-/// Longest wait for an answer other than a watch's.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for a response, except to a watch.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Added to a watch's wait before it counts as silent.
+/// Time beyond the wait of a watch after which it times out.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// Condition of a write.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionGuard {
     /// The object must not exist.
@@ -45,7 +46,7 @@
 }
 
 impl VersionGuard {
-    /// Returns the guard for an object last seen at a version; 0 means that it was absent.
+    /// Returns the precondition for an object last seen at `version`; 0 means that it did not exist.
     pub fn from_version(version: ObjectVersion) -> Self {
         if version == 0 {
             return VersionGuard::Absent;
@@ -61,59 +62,59 @@
     }
 }
 
-/// A value with its version.
+/// Value of an object with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectValue {
     /// Version of the value.
     pub version: ObjectVersion,
-    /// Bytes of the value.
+    /// Content of the value.
     pub bytes: Vec<u8>,
 }
 
-/// One object of a list or watch; a text value only.
+/// An object in the response to a list or watch. Only text values are transferred.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectEvent {
     /// Key of the object.
     pub key: String,
     /// Version after the change.
     pub version: ObjectVersion,
-    /// Value; `None` if the object was deleted or its value is no text.
+    /// Value; `None` if the object was deleted or its value is not text.
     pub value: Option<String>,
 }
 
-/// Answer to a list or watch.
+/// Response to a list or watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectList {
-    /// Revision up to which the answer is complete.
+    /// Revision up to which the response is complete.
     pub revision: ObjectVersion,
-    /// Objects, in the order of their versions.
+    /// Objects, sorted by version.
     pub objects: Vec<ObjectEvent>,
 }
 
 /// Client of the object API.
 #[derive(Clone)]
 pub struct ObjectClient {
-    link: PlatformLink,
-    /// What the newest answer told of the platform's last return from a copy.
+    connection: PlatformConnection,
+    /// Time since the platform's last restore, as of the most recent response.
     restored_ago: Arc<Mutex<Option<Duration>>>,
 }
 
 impl ObjectClient {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new(address: SocketAddr, budget: Arc<CallBudget>) -> Self {
         Self {
-            link: PlatformLink::new(address, budget),
+            connection: PlatformConnection::new(address, budget),
             restored_ago: Arc::default(),
         }
     }
 
-    /// Returns the budget that the client's calls count against.
+    /// Returns the budget of the client's calls.
     pub fn budget(&self) -> &CallBudget {
-        &self.link.budget
+        &self.connection.budget
     }
 
-    /// Returns how long before its newest answer to a read or write of an object the platform last came
-    /// back from a copy; `None` if that answer did not tell.
+    /// Returns the time between the platform's last restore from a backup and its most recent response to a
+    /// read or write of an object; `None` if that response did not include it.
     pub fn restored_ago(&self) -> Option<Duration> {
         *self
             .restored_ago
@@ -121,41 +122,43 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_restored(&self, answer: &BufferedResponse) {
-        let told = answer.header(RESTORED_HEADER).and_then(parse_restored);
+    fn record_restored(&self, response: &BufferedResponse) {
+        let reported = response.header(RESTORED_HEADER).and_then(parse_restored);
         let mut known = self
             .restored_ago
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *known = told;
+        *known = reported;
     }
 
-    /// Reads one object.
+    /// Reads an object.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformError::NotFound`] if there is none, or the fault of the call.
+    /// Returns [`PlatformError::NotFound`] if the object does not exist, or the error of the call.
     pub async fn get(&self, key: &str) -> Result<ObjectValue, PlatformError> {
-        let request = self.link.read(Method::GET, &format!("/objects/{key}"))?;
-        let answer = self.link.send(request, CALL_LIMIT).await?;
-        self.note_restored(&answer);
-        match answer.status {
+        let request = self
+            .connection
+            .read(Method::GET, &format!("/objects/{key}"))?;
+        let response = self.connection.send(request, CALL_TIMEOUT).await?;
+        self.record_restored(&response);
+        match response.status {
             200 => Ok(ObjectValue {
-                version: version_of(&answer)?,
-                bytes: answer.body,
+                version: parse_version(&response)?,
+                bytes: response.body,
             }),
             404 => Err(PlatformError::NotFound),
             _ => Err(PlatformError::Unavailable),
         }
     }
 
-    /// Writes one object if the guard holds, and returns its new version.
+    /// Writes an object if the precondition holds, and returns its new version.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformError::Conflict`] if the guard does not hold. After
-    /// [`PlatformError::ResponseLost`] the write may have taken effect; the caller reads the object
-    /// and looks for its own mark.
+    /// Returns [`PlatformError::Conflict`] if the precondition does not hold. After
+    /// [`PlatformError::ResponseLost`] the write may have taken effect; the caller has to read the object and
+    /// look for the id of its own write.
     pub async fn put(
         &self,
         key: &str,
@@ -165,63 +168,66 @@
         if bytes.len() > VALUE_LIMIT {
             return Err(PlatformError::TooLarge);
         }
-        let mut request = self.link.write(Method::PUT, &format!("/objects/{key}"))?;
+        let mut request = self
+            .connection
+            .write(Method::PUT, &format!("/objects/{key}"))?;
         request.insert_header(GUARD_HEADER, guard.header());
         request.set_body(bytes);
-        let answer = self.link.send(request, CALL_LIMIT).await?;
-        self.note_restored(&answer);
-        match answer.status {
-            200 => version_of(&answer),
+        let response = self.connection.send(request, CALL_TIMEOUT).await?;
+        self.record_restored(&response);
+        match response.status {
+            200 => parse_version(&response),
             409 => Err(PlatformError::Conflict {
-                current: version_of(&answer)?,
+                current: parse_version(&response)?,
             }),
-            // A store that answers 503 has not written; any other answer leaves it open.
+            // With status 503 nothing was written; any other status leaves the outcome unknown.
             503 => Err(PlatformError::Unavailable),
             _ => Err(PlatformError::Malformed),
         }
     }
 
-    /// Deletes one object if it has a version.
+    /// Deletes an object if it has the given version.
     ///
     /// # Errors
     ///
-    /// As [`ObjectClient::put`].
+    /// Returns the same errors as [`ObjectClient::put`], and [`PlatformError::NotFound`] if the object does
+    /// not exist.
     pub async fn delete(&self, key: &str, version: ObjectVersion) -> Result<(), PlatformError> {
         let mut request = self
-            .link
+            .connection
             .write(Method::DELETE, &format!("/objects/{key}"))?;
         request.insert_header(GUARD_HEADER, version.to_string());
-        let answer = self.link.send(request, CALL_LIMIT).await?;
-        match answer.status {
+        let response = self.connection.send(request, CALL_TIMEOUT).await?;
+        match response.status {
             200 => Ok(()),
             404 => Err(PlatformError::NotFound),
             409 => Err(PlatformError::Conflict {
-                current: version_of(&answer)?,
+                current: parse_version(&response)?,
             }),
             503 => Err(PlatformError::Unavailable),
             _ => Err(PlatformError::Malformed),
         }
     }
 
-    /// Lists the objects below a prefix.
+    /// Lists the objects whose keys begin with a prefix.
     ///
     /// # Errors
     ///
-    /// Returns the fault of the call.
+    /// Returns the error of the call.
     pub async fn list(&self, prefix: &str) -> Result<ObjectList, PlatformError> {
         let request = self
-            .link
+            .connection
             .read(Method::GET, &format!("/list?prefix={prefix}"))?;
-        let answer = self.link.send(request, CALL_LIMIT).await?;
-        parse_list(&answer)
+        let response = self.connection.send(request, CALL_TIMEOUT).await?;
+        parse_list(&response)
     }
 
-    /// Waits up to `wait` for changes below a prefix after a revision.
+    /// Waits up to `wait` for changes after a revision of objects whose keys begin with a prefix.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformError::HistoryExpired`] if the list must be read again. A watch that stays
-    /// silent past its wait is a fault, too: it may be dead.
+    /// Returns [`PlatformError::HistoryExpired`] if the objects must be listed again. A watch without a
+    /// response after its wait is an error as well, because its connection may be dead.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -230,13 +236,13 @@
     ) -> Result<ObjectList, PlatformError> {
         let wait_ms = wait.as_millis();
         let path = format!("/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
-        let request = self.link.read(Method::GET, &path)?;
-        let limit = wait + WATCH_GRACE;
-        let answer = self.link.send(request, limit).await?;
-        if answer.status == 410 {
+        let request = self.connection.read(Method::GET, &path)?;
+        let timeout = wait + WATCH_GRACE;
+        let response = self.connection.send(request, timeout).await?;
+        if response.status == 410 {
             return Err(PlatformError::HistoryExpired);
         }
-        parse_list(&answer)
+        parse_list(&response)
     }
 }
 
@@ -246,22 +252,22 @@
     }
     match text.parse() {
         Ok(millis) => Some(Duration::from_millis(millis)),
-        Err(fault) => {
-            log::warn!("{RESTORED_HEADER}: {text:?} is no number of milliseconds: {fault}");
+        Err(error) => {
+            log::warn!("invalid value {text:?} of header {RESTORED_HEADER}: {error}");
             None
         }
     }
 }
 
-fn version_of(answer: &BufferedResponse) -> Result<ObjectVersion, PlatformError> {
-    let text = answer.header(VERSION_HEADER);
+fn parse_version(response: &BufferedResponse) -> Result<ObjectVersion, PlatformError> {
+    let text = response.header(VERSION_HEADER);
     let version = text.and_then(|text| text.parse().ok());
     version.ok_or(PlatformError::Malformed)
 }
 
-fn parse_list(answer: &BufferedResponse) -> Result<ObjectList, PlatformError> {
-    if answer.status != 200 {
+fn parse_list(response: &BufferedResponse) -> Result<ObjectList, PlatformError> {
+    if response.status != 200 {
         return Err(PlatformError::Unavailable);
     }
-    serde_json::from_slice(&answer.body).map_err(|_| PlatformError::Malformed)
+    serde_json::from_slice(&response.body).map_err(|_| PlatformError::Malformed)
 }
--- a/packages/turnford-platform/src/vm.rs
+++ b/packages/turnford-platform/src/vm.rs
@@ -1,4 +1,4 @@
-//! The VM list.
+//! Client of the VM list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,73 +8,73 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::connection::PlatformLink;
+use crate::connection::PlatformConnection;
 use crate::CallBudget;
 use crate::PlatformError;
 
-/// Longest wait for the list.
-const LIST_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for the list.
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// State of a VM as the list has it, late.
+/// State of a VM according to the list, which lags behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// Takes work.
+    /// The VM accepts work.
     Live,
-    /// Will go away.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// One target VM.
+/// A target VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VmEntry {
     /// Name, unique in the fleet.
     pub name: String,
-    /// Service that it runs.
+    /// Service that the VM runs.
     pub service: String,
     /// Address for calls.
     pub address: SocketAddr,
-    /// Hall that it stands in.
+    /// Hall of the VM.
     pub hall: String,
     /// Region of the hall.
     pub region: String,
     /// Hardware class.
     pub hardware: String,
-    /// Calls that it runs at a time.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Cost of one second of one slot.
+    /// Cost of one slot per second.
     pub cost: f64,
-    /// Models and adapters present.
+    /// Models and adapters present on the VM.
     #[serde(default)]
     pub models: Vec<String>,
-    /// State.
+    /// State of the VM.
     pub state: VmState,
 }
 
 /// Client of the VM list.
 #[derive(Clone)]
 pub struct VmClient {
-    link: PlatformLink,
+    connection: PlatformConnection,
 }
 
 impl VmClient {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new(address: SocketAddr, budget: Arc<CallBudget>) -> Self {
-        let link = PlatformLink::new(address, budget);
-        Self { link }
+        let connection = PlatformConnection::new(address, budget);
+        Self { connection }
     }
 
-    /// Reads the whole list.
+    /// Reads the complete list.
     ///
     /// # Errors
     ///
-    /// Returns the fault of the call.
+    /// Returns the error of the call.
     pub async fn list(&self) -> Result<Vec<VmEntry>, PlatformError> {
-        let request = self.link.read(Method::GET, "/vms")?;
-        let answer = self.link.send(request, LIST_LIMIT).await?;
-        if answer.status != 200 {
+        let request = self.connection.read(Method::GET, "/vms")?;
+        let response = self.connection.send(request, LIST_TIMEOUT).await?;
+        if response.status != 200 {
             return Err(PlatformError::Unavailable);
         }
-        serde_json::from_slice(&answer.body).map_err(|_| PlatformError::Malformed)
+        serde_json::from_slice(&response.body).map_err(|_| PlatformError::Malformed)
     }
 }
--- a/packages/turnford-platform/src/weight.rs
+++ b/packages/turnford-platform/src/weight.rs
@@ -1,4 +1,4 @@
-//! The rate-limited store of model weights.
+//! Client of the rate-limited store of model weights.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,14 +7,14 @@
 use http::Method;
 use serde::Deserialize;
 
-use crate::connection::PlatformLink;
+use crate::connection::PlatformConnection;
 use crate::CallBudget;
 use crate::PlatformError;
 
-/// Longest wait for an answer.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for a response.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answer to a question for a load's place.
+/// Response to a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub(crate) struct LoadSlot {
     /// Milliseconds until the load may begin; 0 means now.
@@ -24,29 +24,29 @@
 /// Client of the weight store.
 #[derive(Clone)]
 pub struct WeightClient {
-    link: PlatformLink,
+    connection: PlatformConnection,
 }
 
 impl WeightClient {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new(address: SocketAddr, budget: Arc<CallBudget>) -> Self {
-        let link = PlatformLink::new(address, budget);
-        Self { link }
+        let connection = PlatformConnection::new(address, budget);
+        Self { connection }
     }
 
-    /// Asks when a model's weights may be loaded next.
+    /// Reserves the next time slot to load a model's weights and returns the time until it begins.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformError::NotFound`] for an unknown model, or the fault of the call.
+    /// Returns [`PlatformError::NotFound`] for an unknown model, or the error of the call.
     pub async fn reserve(&self, model: &str) -> Result<Duration, PlatformError> {
         let path = format!("/weights/{model}");
-        let request = self.link.read(Method::POST, &path)?;
-        let answer = self.link.send(request, CALL_LIMIT).await?;
-        match answer.status {
+        let request = self.connection.read(Method::POST, &path)?;
+        let response = self.connection.send(request, CALL_TIMEOUT).await?;
+        match response.status {
             200 => {
                 let slot: LoadSlot =
-                    serde_json::from_slice(&answer.body).map_err(|_| PlatformError::Malformed)?;
+                    serde_json::from_slice(&response.body).map_err(|_| PlatformError::Malformed)?;
                 Ok(Duration::from_millis(slot.wait_ms))
             }
             404 => Err(PlatformError::NotFound),
--- a/packages/turnford-target/src/call.rs
+++ b/packages/turnford-target/src/call.rs
@@ -1,4 +1,4 @@
-//! One call and its answer.
+//! Calls to targets and their responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,35 +13,35 @@
 
 use crate::TargetError;
 
-/// One attempt of one stage.
+/// One attempt of a stage.
 #[derive(Clone, Debug)]
 pub struct TargetCall {
     /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Priority that the target honours, 0 first.
+    /// Priority at the target; 0 is the highest.
     pub priority: ClassRank,
     /// Input text.
     pub input: String,
-    /// Most tokens to generate; 0 for stages that generate none.
+    /// Maximum number of tokens to generate; 0 for stages that do not generate tokens.
     pub max_tokens: u32,
-    /// Tokens that the caller has already, when a broken stream is resumed.
+    /// Number of tokens already received, if an interrupted stream is resumed.
     pub resume_from: u32,
-    /// Time that is left for the whole call.
+    /// Timeout of the whole call.
     pub limit: Duration,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetResponse {
     /// Output text.
     pub output: String,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens: u32,
-    /// Input tokens that came from the target's prefix cache.
+    /// Number of input tokens served from the target's prefix cache.
     pub cached: u32,
 }
 
-/// Body of a call.
+/// Request body of a call.
 #[derive(Serialize)]
 struct CallBody<'a> {
     attempt: String,
@@ -53,7 +53,7 @@
     stream: bool,
 }
 
-/// Body of a refusal.
+/// Response body of a refusal.
 #[derive(Deserialize)]
 struct RefusalBody {
     refused: Option<String>,
@@ -77,11 +77,11 @@
     }
 }
 
-/// Reads the fault of an answer other than 200.
+/// Returns the error for a response with a status other than 200.
 ///
-/// Only an explicit refusal counts as "did not start"; any other answer comes from a target that
-/// may have started.
-pub(crate) fn fault_of(status: u16, body: &[u8]) -> TargetError {
+/// Only an explicit refusal proves that the call did not start. With any other response the target may have
+/// started it.
+pub(crate) fn parse_error(status: u16, body: &[u8]) -> TargetError {
     let refusal: Option<RefusalBody> = serde_json::from_slice(body).ok();
     let reason = refusal.and_then(|body| body.refused);
     match (status, reason.as_deref()) {
--- a/packages/turnford-target/src/engine.rs
+++ b/packages/turnford-target/src/engine.rs
@@ -12,12 +12,12 @@
 use turnford_policy::Clock;
 use turnford_policy::SystemClock;
 
-use crate::call::fault_of;
+use crate::call::parse_error;
 use crate::TargetCall;
 use crate::TargetClient;
 use crate::TargetError;
 
-/// One line of a stream.
+/// A line of a token stream.
 #[derive(Deserialize)]
 struct StreamLine {
     attempt: String,
@@ -31,36 +31,36 @@
     cached: u32,
 }
 
-/// One step of a stream.
+/// A step of a token stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamStep {
     /// The next token.
     Token(String),
-    /// The stream is whole.
+    /// The stream is complete.
     Done {
-        /// Tokens in all, those before a resume among them.
+        /// Total number of tokens, including those received before the stream was resumed.
         tokens: u32,
-        /// Input tokens that came from the prefix cache.
+        /// Number of input tokens served from the prefix cache.
         cached: u32,
     },
 }
 
-/// A token stream. Dropping it closes the connection, which cancels the work at the engine.
+/// A token stream. Dropping it closes the connection, which cancels the call at the engine.
 pub struct EngineStream<'a> {
     stream: Option<HttpStream<'a>>,
     attempt: AttemptId,
     next_index: u32,
-    /// Counts from the start of the call.
+    /// Time since the start of the call.
     clock: SystemClock,
-    limit: Duration,
+    timeout: Duration,
 }
 
 impl TargetClient {
-    /// Starts a stream and returns once the engine accepted the call.
+    /// Starts a token stream and returns once the engine has accepted the call.
     ///
     /// # Errors
     ///
-    /// Returns the fault, which says what is known of the attempt.
+    /// Returns an error that tells whether the engine may have started the call.
     pub async fn stream(
         &self,
         to: SocketAddr,
@@ -71,32 +71,32 @@
         let mut stream = self.http.open(to, request, call.limit).await?;
         if stream.status != 200 {
             let body = stream.read_body().await?;
-            let fault = fault_of(stream.status, &body);
+            let error = parse_error(stream.status, &body);
             stream.recycle();
-            return Err(fault);
+            return Err(error);
         }
         Ok(EngineStream {
             stream: Some(stream),
             attempt: call.attempt,
             next_index: call.resume_from,
             clock,
-            limit: call.limit,
+            timeout: call.limit,
         })
     }
 }
 
 impl EngineStream<'_> {
-    /// Waits for the next step.
+    /// Waits for the next step of the stream.
     ///
     /// # Errors
     ///
-    /// Returns [`TargetError::AttemptMismatch`] for a line of another attempt,
-    /// [`TargetError::Malformed`] for a token out of order, [`TargetError::Disconnected`] or
+    /// Returns [`TargetError::AttemptMismatch`] for a line of another attempt, [`TargetError::Malformed`] for
+    /// a malformed line or a token out of order, and [`TargetError::Disconnected`] or
     /// [`TargetError::Timeout`] if the stream stops before its end.
     pub async fn next(&mut self) -> Result<StreamStep, TargetError> {
         let stream = self.stream.as_mut().ok_or(TargetError::Disconnected)?;
-        let left = self.limit.saturating_sub(self.clock.now());
-        let line = line_within(stream, left).await?;
+        let remaining = self.timeout.saturating_sub(self.clock.now());
+        let line = next_line_within(stream, remaining).await?;
         let line = line.ok_or(TargetError::Disconnected)?;
         let parsed: Result<StreamLine, _> = serde_json::from_str(&line);
         let line = parsed.map_err(|_| TargetError::Malformed)?;
@@ -118,12 +118,12 @@
         Ok(StreamStep::Token(token))
     }
 
-    /// Returns the number of tokens received in order, those before a resume among them.
+    /// Returns the number of tokens received, including those received before the stream was resumed.
     pub fn received(&self) -> u32 {
         self.next_index
     }
 
-    /// Reads the end of the body and keeps the connection.
+    /// Reads the end of the body and releases the connection for reuse.
     async fn finish(&mut self) -> Result<(), TargetError> {
         let Some(mut stream) = self.stream.take() else {
             return Ok(());
@@ -136,12 +136,12 @@
     }
 }
 
-async fn line_within(
+async fn next_line_within(
     stream: &mut HttpStream<'_>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<Option<String>, HttpError> {
     let timer = async {
-        Timer::after(limit).await;
+        Timer::after(timeout).await;
         Err(HttpError::TimeoutAfterSend)
     };
     stream.next_line().or(timer).await
--- a/packages/turnford-target/src/error.rs
+++ b/packages/turnford-target/src/error.rs
@@ -1,33 +1,33 @@
-//! What can go wrong in a call to a target, with what is known of it.
+//! Errors of calls to targets, with the evidence that they give of the attempt.
 
 use std::fmt;
 
 use turnford_http::HttpError;
 use turnford_policy::AttemptEvidence;
 
-/// A failed call.
+/// Error of a call to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetError {
-    /// No byte was handed over.
+    /// No byte of the call was sent.
     NotSent,
-    /// The target refused before it started, because it is full.
+    /// The target refused the call before it started because it is full.
     Full,
-    /// The target refused before it started, because it leaves.
+    /// The target refused the call before it started because it is leaving.
     Leaving,
-    /// The target started and failed.
+    /// The target started the call and failed.
     Failed,
-    /// The call was handed over and no whole answer came.
+    /// The connection was lost after the call was sent and before the response was complete.
     Disconnected,
-    /// The time ran out after the call was handed over.
+    /// The timeout expired after the call was sent.
     Timeout,
-    /// The answer belongs to another attempt.
+    /// The response belongs to another attempt.
     AttemptMismatch,
-    /// The answer could not be read.
+    /// The response cannot be decoded.
     Malformed,
 }
 
 impl TargetError {
-    /// Returns what the fault says about the attempt.
+    /// Returns the evidence that the error gives of the attempt.
     pub fn evidence(self) -> AttemptEvidence {
         match self {
             TargetError::NotSent => AttemptEvidence::NotSent,
@@ -42,8 +42,8 @@
 }
 
 impl From<HttpError> for TargetError {
-    fn from(fault: HttpError) -> Self {
-        match fault {
+    fn from(error: HttpError) -> Self {
+        match error {
             HttpError::NotConnected | HttpError::TimeoutBeforeSend => TargetError::NotSent,
             HttpError::TimeoutAfterSend => TargetError::Timeout,
             HttpError::Disconnected | HttpError::Truncated => TargetError::Disconnected,
@@ -59,10 +59,10 @@
             TargetError::Full => "the target is full",
             TargetError::Leaving => "the target is leaving",
             TargetError::Failed => "the target failed",
-            TargetError::Disconnected => "the connection broke",
-            TargetError::Timeout => "no answer in time",
-            TargetError::AttemptMismatch => "the answer belongs to another attempt",
-            TargetError::Malformed => "the answer can't be read",
+            TargetError::Disconnected => "the connection to the target was lost",
+            TargetError::Timeout => "no response from the target in time",
+            TargetError::AttemptMismatch => "the response belongs to another attempt",
+            TargetError::Malformed => "malformed response of the target",
         };
         f.write_str(text)
     }
--- a/packages/turnford-target/src/lib.rs
+++ b/packages/turnford-target/src/lib.rs
@@ -1,8 +1,7 @@
-//! Clients of the targets: model engines, stage pools and plain services.
+//! Client of the targets: model engines, stage pools and plain services.
 //!
-//! One call is one attempt. Its id goes out with the call and must come back with every part of
-//! the answer; an answer that carries another id is dropped and reported as
-//! [`TargetError::AttemptMismatch`].
+//! Each call is one attempt. The attempt id is sent with the call and must be repeated in every part of the
+//! response. A response with another id is discarded and reported as [`TargetError::AttemptMismatch`].
 
 mod call;
 mod engine;
@@ -25,18 +24,18 @@
 
 use turnford_http::HttpClient;
 
-/// Client of all targets of one thread.
+/// Client of one thread for all targets.
 #[derive(Clone, Default)]
 pub struct TargetClient {
     http: Arc<HttpClient>,
 }
 
 impl TargetClient {
-    /// Makes a client without connections.
+    /// Creates a client without connections.
     pub fn new() -> Self {
         Self::default()
     }
 }
 
-/// Address of one target.
+/// Address of a target.
 pub type TargetAddress = SocketAddr;
--- a/packages/turnford-target/src/order.rs
+++ b/packages/turnford-target/src/order.rs
@@ -1,4 +1,4 @@
-//! Fenced orders to targets.
+//! Orders to targets, fenced by tokens.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::TargetClient;
 use crate::TargetError;
 
-/// Body of an order.
+/// Request body of an order.
 #[derive(Serialize)]
 struct OrderBody<'a> {
     token: u64,
@@ -19,26 +19,26 @@
 }
 
 impl TargetClient {
-    /// Gives an order with a token; `limit` is the longest time that it can be in flight.
+    /// Sends an order with its fencing token. `timeout` is the maximum time that it can be in flight.
     ///
     /// # Errors
     ///
-    /// Returns [`TargetError::Full`] if the target refused it, for its token or for want of room,
-    /// or the fault of the call.
+    /// Returns [`TargetError::Full`] if the target refused the order because of its token or for lack of
+    /// memory, or the error of the call.
     pub async fn order(
         &self,
         to: SocketAddr,
         token: u64,
         kind: &str,
         model: &str,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(), TargetError> {
         let body = OrderBody { token, kind, model };
         let bytes = serde_json::to_vec(&body).map_err(|_| TargetError::NotSent)?;
         let mut request = HttpClient::request(Method::POST, to, "/order")?;
         request.set_body(bytes);
-        let answer = self.http.send(to, request, limit).await?;
-        match answer.status {
+        let response = self.http.send(to, request, timeout).await?;
+        match response.status {
             202 => Ok(()),
             409 | 422 => Err(TargetError::Full),
             _ => Err(TargetError::Failed),
--- a/packages/turnford-target/src/report.rs
+++ b/packages/turnford-target/src/report.rs
@@ -1,4 +1,4 @@
-//! Load reports and cache events of targets, both late.
+//! Load reports and cache events of targets. Both lag behind the state of the target.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,58 +11,58 @@
 use crate::TargetClient;
 use crate::TargetError;
 
-/// Longest wait for a report.
-const REPORT_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout for a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a target says of its load.
+/// Load report of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetReport {
-    /// Calls running.
+    /// Number of running calls.
     pub running: u32,
-    /// Calls queued.
+    /// Number of queued calls.
     pub queued: u32,
-    /// Age of the numbers in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: u64,
-    /// Whether the target leaves.
+    /// Whether the target is leaving.
     pub leaving: bool,
-    /// Models and adapters that can serve now.
+    /// Models and adapters that are ready to serve.
     #[serde(default)]
     pub models: Vec<String>,
 }
 
-/// One change of an engine's prefix cache.
+/// A change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event, rising by one.
+    /// Sequence number of the event, increasing by one.
     pub number: u64,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Whether the prefix is held now.
+    /// Whether the prefix is now cached.
     pub present: bool,
 }
 
-/// Events after a number; a first number higher than asked for shows a gap.
+/// Cache events after a sequence number. If the first number is higher than requested, events were lost.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Events in order.
+    /// Events, sorted by number.
     pub events: Vec<CacheEvent>,
 }
 
 impl TargetClient {
-    /// Asks a target for its load.
+    /// Requests the load report of a target.
     ///
     /// # Errors
     ///
-    /// Returns the fault of the call.
+    /// Returns the error of the call.
     pub async fn report(&self, to: SocketAddr) -> Result<TargetReport, TargetError> {
         self.read_json(to, "/report").await
     }
 
-    /// Asks an engine for its cache events after a number.
+    /// Requests the cache events of an engine after a sequence number.
     ///
     /// # Errors
     ///
-    /// Returns the fault of the call.
+    /// Returns the error of the call.
     pub async fn cache_events(
         &self,
         to: SocketAddr,
@@ -77,10 +77,10 @@
         path: &str,
     ) -> Result<T, TargetError> {
         let request = HttpClient::request(Method::GET, to, path)?;
-        let answer = self.http.send(to, request, REPORT_LIMIT).await?;
-        if answer.status != 200 {
+        let response = self.http.send(to, request, REPORT_TIMEOUT).await?;
+        if response.status != 200 {
             return Err(TargetError::Failed);
         }
-        serde_json::from_slice(&answer.body).map_err(|_| TargetError::Malformed)
+        serde_json::from_slice(&response.body).map_err(|_| TargetError::Malformed)
     }
 }
--- a/packages/turnford-target/src/unary.rs
+++ b/packages/turnford-target/src/unary.rs
@@ -1,18 +1,18 @@
-//! Calls whose answer comes whole: stage pools and plain services.
+//! Calls with a single response: stage pools and plain services.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-use crate::call::fault_of;
+use crate::call::parse_error;
 use crate::TargetCall;
 use crate::TargetClient;
 use crate::TargetError;
 use crate::TargetResponse;
 
-/// Body of a whole answer.
+/// Response body of a call.
 #[derive(Deserialize)]
-struct AnswerBody {
+struct ResponseBody {
     attempt: String,
     output: String,
     #[serde(default)]
@@ -22,22 +22,22 @@
 }
 
 impl TargetClient {
-    /// Makes a call and reads its whole answer.
+    /// Makes a call and reads its complete response.
     ///
     /// # Errors
     ///
-    /// Returns the fault, which says what is known of the attempt.
+    /// Returns an error that tells whether the target may have started the call.
     pub async fn run(
         &self,
         to: SocketAddr,
         call: &TargetCall,
     ) -> Result<TargetResponse, TargetError> {
         let request = call.request(to, false)?;
-        let answer = self.http.send(to, request, call.limit).await?;
-        if answer.status != 200 {
-            return Err(fault_of(answer.status, &answer.body));
+        let response = self.http.send(to, request, call.limit).await?;
+        if response.status != 200 {
+            return Err(parse_error(response.status, &response.body));
         }
-        let parsed: Result<AnswerBody, _> = serde_json::from_slice(&answer.body);
+        let parsed: Result<ResponseBody, _> = serde_json::from_slice(&response.body);
         let body = parsed.map_err(|_| TargetError::Malformed)?;
         if body.attempt.parse() != Ok(call.attempt) {
             return Err(TargetError::AttemptMismatch);
