--- a/packages/turnford-http/src/stream.rs
+++ b/packages/turnford-http/src/stream.rs
@@ -33,7 +33,7 @@
     Open,
     /// The machine is up and refuses connections.
     Refused,
-    /// The state is unknown: there was no answer within the timeout, or no route.
+    /// The state is unknown: there was no response within the timeout, or no route.
     Unreachable,
 }
 
--- a/packages/turnford-http/tests/slow_heads.rs
+++ b/packages/turnford-http/tests/slow_heads.rs
@@ -62,8 +62,8 @@
 /// Reads until the server closes the connection and returns how long that took.
 fn wait_closed(stream: &mut TcpStream) -> Duration {
     let started = Instant::now();
-    let mut rest = Vec::new();
-    stream.read_to_end(&mut rest).expect("closed in time");
+    let mut remaining = Vec::new();
+    stream.read_to_end(&mut remaining).expect("closed in time");
     started.elapsed()
 }
 
--- a/packages/turnford-wire/examples/limit_cost.rs
+++ b/packages/turnford-wire/examples/limit_cost.rs
@@ -30,16 +30,16 @@
     let targets: Vec<TargetId> = (0..TARGETS)
         .map(|number| format!("i-{number:010}").into())
         .collect();
-    let mut divider = LimitAllocator::new(Duration::ZERO);
+    let mut allocator = LimitAllocator::new(Duration::ZERO);
     for target in &targets {
-        divider.adopt(Duration::ZERO, target, 1, LimitState::Limited(4.0));
+        allocator.adopt(Duration::ZERO, target, 1, LimitState::Limited(4.0));
     }
     let started = Instant::now();
     let mut granted = 0;
     for number in 0..REQUESTS {
         let now = Duration::from_micros(100 * u64::from(number));
         let target = &targets[number as usize % TARGETS];
-        granted += u32::from(divider.take(now, target, PermitPurpose::Work).is_ok());
+        granted += u32::from(allocator.take(now, target, PermitPurpose::Work).is_ok());
     }
     println!(
         "permit: {:?} per request, {granted} granted",
@@ -48,15 +48,15 @@
     let started = Instant::now();
     for number in 0..REQUESTS / 100 {
         let now = Duration::from_secs(20) + Duration::from_micros(100 * u64::from(number));
-        let ask = QueuedRequest {
+        let request = QueuedRequest {
             number: u64::from(number),
             ranks: (1, 1),
             requested_at: now,
             deadline: now + Duration::from_secs(4),
         };
-        divider.request_permit(now, &ask, &targets);
+        allocator.request_permit(now, &request, &targets);
     }
-    let (_, waiting) = divider.load(Duration::from_secs(20));
+    let (_, waiting) = allocator.load(Duration::from_secs(20));
     println!(
         "queue: {:?} per request among {TARGETS} targets, {waiting} waiting",
         started.elapsed() / (REQUESTS / 100)
@@ -74,7 +74,7 @@
             work_address: "10.3.0.12:7742".parse().expect("an address"),
         },
     };
-    let ask = WorkRequest::Permit(PermitAcquire {
+    let request = WorkRequest::Permit(PermitAcquire {
         service: service.clone(),
         term: Some(term.clone()),
         target: "i-91b9f41feb".to_owned(),
@@ -102,7 +102,7 @@
         }])
     };
     let size = |frame: Result<Vec<u8>, _>| frame.map_or(0, |frame: Vec<u8>| frame.len());
-    println!("permit request: {} bytes", size(encode_frame(&ask)));
+    println!("permit request: {} bytes", size(encode_frame(&request)));
     println!("permit reply: {} bytes", size(encode_frame(&reply)));
     println!(
         "limit digest: {} bytes",
--- a/packages/turnford-wire/tests/peer_restart.rs
+++ b/packages/turnford-wire/tests/peer_restart.rs
@@ -57,10 +57,10 @@
         let listener = old.await;
         // Wait until the client sees the old connection close.
         Timer::after(Duration::from_millis(50)).await;
-        let answer = |_: WorkRequest| async { WorkReply::Ack };
+        let handler = |_: WorkRequest| async { WorkReply::Ack };
         let refusal = || WorkReply::Refused;
         let policy = CancelPolicy::Drop;
-        let accept = accept_peers(listener, executor.clone(), policy, refusal, answer);
+        let accept = accept_peers(listener, executor.clone(), policy, refusal, handler);
         executor.spawn(accept).detach();
         assert_eq!(call().await, Ok(WorkReply::Ack));
     }));
--- a/packages/turnford-wire/tests/slow_answers.rs
+++ b/packages/turnford-wire/tests/slow_answers.rs
@@ -1,8 +1,9 @@
 //! A response is read as long as data keeps arriving and abandoned once it stalls.
 //!
-//! Guards against a timeout for the whole response. With 0.3 s for all of it, a node on a 10 Mbit/s link
-//! never received a configuration of 0.85 MB, which takes 0.7 s, and logged `peer … knows more but gives no
-//! answer` for ten seconds. In one run 487 of 500 abandoned responses, 48 MB in total, had started to arrive.
+//! Guards against a timeout for the whole response. It was 0.3 s beyond the wait of the request, so a node on
+//! a 10 Mbit/s link did not receive a configuration of 0.85 MB, which takes 0.7 s, and logged for ten seconds
+//! that the peer did not answer. In one run 487 of 500 abandoned responses, 48 MB in total, had begun to
+//! arrive.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -40,10 +41,10 @@
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = TcpListener::bind(any).await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let answer = |_: WorkRequest| async { large_response() };
+        let handler = |_: WorkRequest| async { large_response() };
         let refusal = || WorkReply::Refused;
         let policy = CancelPolicy::Drop;
-        let accept = accept_peers(listener, executor.clone(), policy, refusal, answer);
+        let accept = accept_peers(listener, executor.clone(), policy, refusal, handler);
         executor.spawn(accept).detach();
         let link = LinkProxy::start(&threads, address).expect("a free port");
         link.set(LinkState::Throttled(LINK_RATE));
