--- a/packages/turnford-serve/src/accept.rs
+++ b/packages/turnford-serve/src/accept.rs
@@ -89,12 +89,12 @@
     traffic: Rc<Traffic>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let mut answer = serve_request(traffic.clone(), request).await;
+    let mut response = serve_request(traffic.clone(), request).await;
     if traffic.shared.is_draining() {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
 
 /// Answers the platform's readiness probe.
@@ -110,7 +110,7 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    plain_answer(status, Bytes::new())
+    plain_response(status, Bytes::new())
 }
 
 /// Answers a metrics reader.
@@ -119,15 +119,15 @@
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     if request.uri().path() != "/metrics" {
-        return plain_answer(StatusCode::NOT_FOUND, Bytes::new());
+        return plain_response(StatusCode::NOT_FOUND, Bytes::new());
     }
     let running = shared.running.load(std::sync::atomic::Ordering::SeqCst);
     shared.metrics.running.set(running);
-    plain_answer(StatusCode::OK, Bytes::from(shared.metrics.text()))
+    plain_response(StatusCode::OK, Bytes::from(shared.metrics.text()))
 }
 
-fn plain_answer(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::full(body));
-    *answer.status_mut() = status;
-    answer
+fn plain_response(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(body));
+    *response.status_mut() = status;
+    response
 }
--- a/packages/turnford-serve/src/admission.rs
+++ b/packages/turnford-serve/src/admission.rs
@@ -147,15 +147,15 @@
 }
 
 fn decode_admit_reply(reply: WorkReply) -> Option<Result<(FlowTicket, FlowForecast), FlowRefusal>> {
-    let span = |millis: u32| Duration::from_millis(u64::from(millis));
+    let from_millis = |millis: u32| Duration::from_millis(u64::from(millis));
     match reply {
         WorkReply::Admitted(ticket, ends) => Some(Ok((ticket, decode_forecast(&ends)))),
         WorkReply::NotAdmitted {
             late_ms,
             retry_after_ms,
         } => Some(Err(FlowRefusal {
-            lateness: span(late_ms),
-            retry_after: span(retry_after_ms),
+            lateness: from_millis(late_ms),
+            retry_after: from_millis(retry_after_ms),
         })),
         _ => None,
     }
@@ -275,7 +275,7 @@
     send_within: Duration,
 ) -> AdmitRequest {
     let remaining = flow_request.deadline.saturating_sub(traffic.shared.now());
-    let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+    let millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     let number = |value: &usize| u32::try_from(*value).unwrap_or(u32::MAX);
     let stages = flow_request.stages.iter().map(|stage| AdmitStage {
         service: stage.service.to_string(),
@@ -349,6 +349,6 @@
     ends.map(|end| millis_u32(*end)).collect()
 }
 
-pub(crate) fn millis_u32(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+pub(crate) fn millis_u32(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
--- a/packages/turnford-serve/src/availability.rs
+++ b/packages/turnford-serve/src/availability.rs
@@ -85,10 +85,10 @@
         let available_at = forecast_availability(traffic, record, context, tried, ahead)?;
         if !is_traced {
             is_traced = true;
-            let span = available_at.saturating_sub(traffic.shared.now());
+            let delay = available_at.saturating_sub(traffic.shared.now());
             record.trace(format_args!(
                 "all targets in backoff, {ahead} requests ahead, first target available in {}ms",
-                span.as_millis()
+                delay.as_millis()
             ));
         }
         let remaining = available_at.saturating_sub(traffic.shared.now());
--- a/packages/turnford-serve/src/backoff.rs
+++ b/packages/turnford-serve/src/backoff.rs
@@ -1,10 +1,10 @@
 //! Targets that refuse a call and ask for backoff get no further calls from this node until it
 //! ends.
 //!
-//! A backoff holds between one node and one target. The placer of engine requests is told with each
-//! request which targets to skip. Targets of a stage get all their calls from the batching node, so
-//! this node sends its backoffs to the nodes that admit requests, and these count such targets as
-//! unavailable.
+//! A backoff holds between one node and one target. The placer of engine requests receives with
+//! each request the targets to skip. Targets of a stage get all their calls from the batching node,
+//! so this node sends its backoffs to the nodes that admit requests, and these count such targets
+//! as unavailable.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
 use crate::service_context::ServiceContext;
 use crate::traffic::Traffic;
 
-/// Jitter that a node adds at most, as a ratio of the backoff. Nodes that were told the same time
-/// don't return at the same moment.
+/// Jitter that a node adds at most, as a ratio of the backoff. Nodes that received the same
+/// backoff don't return at the same moment.
 const BACKOFF_JITTER: f64 = 0.1;
 
 const MAX_BACKOFF_JITTER: Duration = Duration::from_millis(500);
@@ -38,13 +38,13 @@
     let jitter = backoff
         .min(MAX_BACKOFF_JITTER.div_f64(BACKOFF_JITTER))
         .mul_f64(BACKOFF_JITTER);
-    let span = backoff.saturating_add(jitter.mul_f64(traffic.random()));
+    let backoff = backoff.saturating_add(jitter.mul_f64(traffic.random()));
     let mut table = context.targets.borrow_mut();
-    table.record_backoff(now, &target.id, target.process_start, span);
+    table.record_backoff(now, &target.id, target.process_start, backoff);
     drop(table);
     context.wait_queue.wake_first();
     if context.spec.borrow().batch.is_some() {
-        notify_admitters(traffic, target, span);
+        notify_admitters(traffic, target, backoff);
     }
 }
 
--- a/packages/turnford-serve/src/batch.rs
+++ b/packages/turnford-serve/src/batch.rs
@@ -78,7 +78,7 @@
     timeout: Duration,
 ) -> Result<StageReport, String> {
     let host = target.address.to_string();
-    let request = encode_report(&host, &target.id).map_err(|problem| problem.to_string())?;
+    let request = encode_report(&host, &target.id).map_err(|error| error.to_string())?;
     let purpose = CallPurpose::Maintenance;
     let call = call_target(
         &cell.traffic,
@@ -97,7 +97,7 @@
         Err(CallError::Unknown("the report timed out"))
     };
     let (_, body) = read.or(late).await.map_err(|error| format!("{error:?}"))?;
-    decode_report(&body).map_err(|problem| problem.to_string())
+    decode_report(&body).map_err(|error| error.to_string())
 }
 
 /// Makes one call and dispatches what can be sent after it.
@@ -330,9 +330,9 @@
     });
     let items: Vec<PieceItem<'_>> = items.collect();
     let host = target.address.to_string();
-    let request = encode_pieces(&host, &target.id, &items).map_err(|problem| {
+    let request = encode_pieces(&host, &target.id, &items).map_err(|error| {
         log::error!(
-            "target={} cannot encode a call of pieces: {problem}",
+            "target={} cannot encode a call of pieces: {error}",
             target.id
         );
         CallError::NotSent("the call can't be encoded")
@@ -358,8 +358,8 @@
     if !parts.status.is_success() {
         return Err(CallError::Unknown("the target returned an error status"));
     }
-    decode_pieces(&body, items.len()).map_err(|problem| {
-        log::warn!("target={} invalid response: {problem}", target.id);
+    decode_pieces(&body, items.len()).map_err(|error| {
+        log::warn!("target={} invalid response: {error}", target.id);
         CallError::Unknown("the response body is invalid")
     })
 }
--- a/packages/turnford-serve/src/call.rs
+++ b/packages/turnford-serve/src/call.rs
@@ -187,8 +187,8 @@
     };
     let (parts, body) = response.into_parts();
     let signal = process_signals(traffic, context, target, &parts, attempt, now);
-    let attributes = decode_response(&parts).map_err(|problem| {
-        log::warn!("target={} invalid response: {problem}", target.id);
+    let attributes = decode_response(&parts).map_err(|error| {
+        log::warn!("target={} invalid response: {error}", target.id);
         CallError::Unknown("the response head is invalid")
     })?;
     if let Some(sample) = attributes.load {
--- a/packages/turnford-serve/src/control.rs
+++ b/packages/turnford-serve/src/control.rs
@@ -56,9 +56,9 @@
     // These connections are few and short; they end with the process.
     let (_open, closing) = async_channel::bounded::<()>(1);
     let probe_shared = shared.clone();
-    let answer = move |request| {
-        let answer = answer_readiness(&probe_shared, request);
-        async move { answer }
+    let handler = move |request| {
+        let response = answer_readiness(&probe_shared, request);
+        async move { response }
     };
     let probes = accept_connections(
         executor.clone(),
@@ -66,12 +66,12 @@
         probe_limits,
         closing.clone(),
         || (),
-        answer,
+        handler,
     );
     executor.spawn(probes).detach();
-    let answer = move |request| {
-        let answer = answer_metrics(&shared, request);
-        async move { answer }
+    let handler = move |request| {
+        let response = answer_metrics(&shared, request);
+        async move { response }
     };
     let readers = accept_connections(
         executor.clone(),
@@ -79,7 +79,7 @@
         probe_limits,
         closing,
         || (),
-        answer,
+        handler,
     );
     executor.spawn(readers).detach();
     let peers = peers::serve_peers(context.clone(), listeners.inner);
--- a/packages/turnford-serve/src/control/context.rs
+++ b/packages/turnford-serve/src/control/context.rs
@@ -192,7 +192,7 @@
     }
 
     /// Returns whether the store may be called again after a failure.
-    pub(super) fn may_ask_store(&self, now: Moment) -> bool {
+    pub(super) fn may_call_store(&self, now: Moment) -> bool {
         let mut states = [&self.config_state, &self.target_state].into_iter();
         states.any(|state| state.is_lost.get() && state.retry_at.get() <= now)
     }
--- a/packages/turnford-serve/src/control/peers.rs
+++ b/packages/turnford-serve/src/control/peers.rs
@@ -18,12 +18,12 @@
 /// Serves the control protocol for as long as the node runs.
 pub(super) async fn serve_peers(context: Rc<ControlContext>, listener: TcpListener) {
     let executor = context.executor.clone();
-    let handler = move |request| answer(context.clone(), request);
+    let handler = move |request| answer_request(context.clone(), request);
     let refusal = || ControlReply::Refused;
     accept_peers(listener, executor, CancelPolicy::Finish, refusal, handler).await;
 }
 
-async fn answer(context: Rc<ControlContext>, request: ControlRequest) -> ControlReply {
+async fn answer_request(context: Rc<ControlContext>, request: ControlRequest) -> ControlReply {
     match request {
         ControlRequest::Ping { gossip, digest, .. } => {
             if let Some(from) = gossip.first() {
--- a/packages/turnford-serve/src/control/source.rs
+++ b/packages/turnford-serve/src/control/source.rs
@@ -175,7 +175,7 @@
         return is_watcher || now >= START_GRACE_PERIOD;
     }
     if context.is_store_lost() {
-        return context.may_ask_store(now);
+        return context.may_call_store(now);
     }
     is_watcher || now < context.direct_until.get()
 }
--- a/packages/turnford-serve/src/control/targets.rs
+++ b/packages/turnford-serve/src/control/targets.rs
@@ -82,7 +82,7 @@
         }
         for id in &expired.reinstated {
             log::info!(
-                "target={id} reinstated: it is alive, but was gone before the store was restored"
+                "target={id} reinstated: it is alive, but was removed before the store was restored"
             );
         }
         if expired != ExpiredTargets::default() {
@@ -127,7 +127,7 @@
     for (id, target) in old.iter() {
         if !list.targets().contains_key(id) {
             let service = &target.service;
-            log::info!("target={id} service={service} is gone: place={position}");
+            log::info!("target={id} service={service} removed: place={position}");
         }
     }
 }
--- a/packages/turnford-serve/src/control/view.rs
+++ b/packages/turnford-serve/src/control/view.rs
@@ -182,8 +182,9 @@
     }
 }
 
-/// Returns the change up to which an asking node is up to date, or `None` if it needs everything:
-/// its cursor is from another process, or from before the store was restored from a copy.
+/// Returns the change up to which a requesting node is up to date, or `None` if it needs
+/// everything: its cursor is from another process, or from before the store was restored from a
+/// copy.
 fn known_change(context: &ControlContext, cursor: ViewCursor) -> Option<u64> {
     let is_own = cursor.process == context.shared.started;
     let is_of_era = cursor.era == context.targets.borrow().position().era;
--- a/packages/turnford-serve/src/forward.rs
+++ b/packages/turnford-serve/src/forward.rs
@@ -218,9 +218,9 @@
         last_event_id: None,
     };
     let request =
-        encode_forward(job.parts, job.body.clone(), &forward_context).map_err(|problem| {
+        encode_forward(job.parts, job.body.clone(), &forward_context).map_err(|error| {
             log::warn!(
-                "request={} cannot be forwarded: {problem}",
+                "request={} cannot be forwarded: {error}",
                 record.attributes.attempt
             );
             CallError::NotSent("the request can't be encoded")
--- a/packages/turnford-serve/src/leaving.rs
+++ b/packages/turnford-serve/src/leaving.rs
@@ -194,8 +194,8 @@
         CallError::NotSent("the health request can't be encoded")
     })?;
     let purpose = CallPurpose::Maintenance;
-    let answer = call_target(traffic, context, target, request, purpose, PROBE_TIMEOUT).await?;
-    let is_well = answer.parts.status.is_success() && !answer.is_leaving;
-    answer.collect(traffic, MAX_RESPONSE_BYTES).await?;
+    let response = call_target(traffic, context, target, request, purpose, PROBE_TIMEOUT).await?;
+    let is_well = response.parts.status.is_success() && !response.is_leaving;
+    response.collect(traffic, MAX_RESPONSE_BYTES).await?;
     Ok(is_well)
 }
--- a/packages/turnford-serve/src/limit_sync.rs
+++ b/packages/turnford-serve/src/limit_sync.rs
@@ -53,11 +53,11 @@
     if digests.is_empty() {
         return;
     }
-    let divides = |context: &Rc<ServiceContext>| {
+    let is_allocator = |context: &Rc<ServiceContext>| {
         let mut election = context.limits.election.borrow_mut();
         election.allocator().is_some()
     };
-    let count = if services.iter().any(divides) {
+    let count = if services.iter().any(is_allocator) {
         ALLOCATOR_PEERS
     } else {
         1
--- a/packages/turnford-serve/src/limit_updates.rs
+++ b/packages/turnford-serve/src/limit_updates.rs
@@ -129,9 +129,9 @@
     target: &TargetId,
     process_start: ProcessStart,
     observation: LimitObservation,
-    asked: Option<&LimitTerm>,
+    known: Option<&LimitTerm>,
 ) -> bool {
-    let role = limits.resolve_role(asked);
+    let role = limits.resolve_role(known);
     if !matches!(role, AllocationRole::Allocates { .. }) {
         return false;
     }
@@ -156,8 +156,8 @@
         received_at: at(report.received_ms),
     };
     let target: TargetId = report.target.as_str().into();
-    let asked = report.term.as_ref();
-    apply_observation(limits, &target, report.process_start, observation, asked);
+    let known = report.term.as_ref();
+    apply_observation(limits, &target, report.process_start, observation, known);
     WorkReply::Limits {
         updates: known_limits(limits).into_iter().collect(),
         behind: Vec::new(),
--- a/packages/turnford-serve/src/limits.rs
+++ b/packages/turnford-serve/src/limits.rs
@@ -130,16 +130,16 @@
         }
     }
 
-    /// Resolves who allocates, for another node that asks (`asked` is the term it knows) or for
-    /// this node itself.
-    pub(crate) fn resolve_role(&self, asked: Option<&LimitTerm>) -> AllocationRole {
-        if let Some(asked) = asked {
-            self.observe_term(asked);
+    /// Resolves who allocates, for another node that requests it (`known` is the term which
+    /// that node knows) or for this node itself.
+    pub(crate) fn resolve_role(&self, known: Option<&LimitTerm>) -> AllocationRole {
+        if let Some(known) = known {
+            self.observe_term(known);
         }
         let now = self.peers.shared.now();
         let mut election = self.election.borrow_mut();
         let holder_status = |holder: &AllocatorId| self.holder_status(now, holder);
-        let role = election.resolve(now, asked, holder_status, self.table.borrow().limited());
+        let role = election.resolve(now, known, holder_status, self.table.borrow().limited());
         if let Some(allocator) = election.allocator() {
             allocator.set_reaches_half(self.peers.shared.view.load().reaches_half());
         }
--- a/packages/turnford-serve/src/pieces.rs
+++ b/packages/turnford-serve/src/pieces.rs
@@ -401,10 +401,10 @@
     if matches!(end, PermitOutcome::Unlimited(_)) {
         report_limit(limits, &target);
     }
-    if let PermitOutcome::Wait(span) | PermitOutcome::Unlimited(span) = end {
-        let until = cell.traffic.shared.now() + span;
+    if let PermitOutcome::Wait(delay) | PermitOutcome::Unlimited(delay) = end {
+        let until = cell.traffic.shared.now() + delay;
         limits.table.borrow_mut().record_denial(&target.id, until);
-        Timer::after(span).await;
+        Timer::after(delay).await;
     }
     cell.queue.pending_permits.borrow_mut().remove(&target.id);
     cell.dispatch();
--- a/packages/turnford-serve/src/placed_run.rs
+++ b/packages/turnford-serve/src/placed_run.rs
@@ -37,9 +37,10 @@
     pub(crate) fn report_first_event(&self) {
         if let Some(run) = &self.run {
             let now = run.placer.traffic.shared.now();
-            let span = now.saturating_sub(run.placed_at).as_millis();
-            let span = u32::try_from(span).unwrap_or(u32::MAX);
-            run.placer.notify(RunUpdate::Started(run.ticket, span));
+            let elapsed_ms = now.saturating_sub(run.placed_at).as_millis();
+            let elapsed_ms = u32::try_from(elapsed_ms).unwrap_or(u32::MAX);
+            run.placer
+                .notify(RunUpdate::Started(run.ticket, elapsed_ms));
         }
     }
 
--- a/packages/turnford-serve/src/placement.rs
+++ b/packages/turnford-serve/src/placement.rs
@@ -115,20 +115,20 @@
             PlacementAttempt::Wait(_) if traffic.shared.now() > queued.deadline => {
                 return PlacementOutcome::Full(RETRY_AFTER);
             }
-            PlacementAttempt::Wait(span) => {
+            PlacementAttempt::Wait(delay) => {
                 drop(position);
                 if !std::mem::replace(&mut is_traced, true) {
                     record.trace(format_args!(
                         "waiting for a permit, all targets are rate-limited"
                     ));
                 }
-                Timer::after(span).await;
+                Timer::after(delay).await;
                 continue;
             }
             PlacementAttempt::Full(retry_after) => return PlacementOutcome::Full(retry_after),
             PlacementAttempt::NoTarget => return PlacementOutcome::NoTarget,
-            PlacementAttempt::Refused(span) => {
-                return PlacementOutcome::Suspect(SuspectRefusal::crashes_targets(span));
+            PlacementAttempt::Refused(retry_after) => {
+                return PlacementOutcome::Suspect(SuspectRefusal::crashes_targets(retry_after));
             }
             PlacementAttempt::Held if traffic.shared.now() >= hold_until => {
                 return PlacementOutcome::Suspect(SuspectRefusal::on_trial());
@@ -231,7 +231,7 @@
     let (place, is_alone) = match place_checked(traffic, context, digest, placement, queued) {
         CheckedPlacement::Found { place, is_alone } => (place, is_alone),
         CheckedPlacement::Held => return PlacementAttempt::Held,
-        CheckedPlacement::Refused(span) => return PlacementAttempt::Refused(span),
+        CheckedPlacement::Refused(retry_after) => return PlacementAttempt::Refused(retry_after),
     };
     match place {
         LimitedPlacement::Assigned {
@@ -249,8 +249,8 @@
                 run: Some(register_run(traffic, context, None, ticket)),
             }))
         }
-        LimitedPlacement::Wait(span) => PlacementAttempt::Wait(span),
-        LimitedPlacement::Full(span) => PlacementAttempt::Full(span),
+        LimitedPlacement::Wait(delay) => PlacementAttempt::Wait(delay),
+        LimitedPlacement::Full(retry_after) => PlacementAttempt::Full(retry_after),
         LimitedPlacement::NoTarget => PlacementAttempt::NoTarget,
     }
 }
--- a/packages/turnford-serve/src/placer.rs
+++ b/packages/turnford-serve/src/placer.rs
@@ -68,7 +68,7 @@
         let remaining = until.saturating_sub(now).as_millis();
         u64::try_from(remaining).unwrap_or(u64::MAX)
     };
-    let millis_from = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
+    let millis_from = |duration: Duration| u32::try_from(duration.as_millis()).unwrap_or(u32::MAX);
     PlaceRequest {
         service: context.spec.borrow().name.to_string(),
         digest: digest.0,
@@ -106,7 +106,7 @@
     placer: SocketAddr,
     reply: PlaceReply,
 ) -> Option<PlacementAttempt> {
-    let span = |millis: u32| Duration::from_millis(u64::from(millis));
+    let from_millis = |millis: u32| Duration::from_millis(u64::from(millis));
     match reply {
         PlaceReply::Assigned {
             target: id,
@@ -139,8 +139,10 @@
                 run: Some(run),
             })))
         }
-        PlaceReply::Wait { wait_ms } => Some(PlacementAttempt::Wait(span(wait_ms))),
-        PlaceReply::Full { retry_after_ms } => Some(PlacementAttempt::Full(span(retry_after_ms))),
+        PlaceReply::Wait { wait_ms } => Some(PlacementAttempt::Wait(from_millis(wait_ms))),
+        PlaceReply::Full { retry_after_ms } => {
+            Some(PlacementAttempt::Full(from_millis(retry_after_ms)))
+        }
         PlaceReply::Redirect(term) => {
             context.limits.record_holder(&term);
             Some(PlacementAttempt::Wait(REDIRECT_DELAY))
@@ -177,8 +179,8 @@
     let reply = match place_checked(traffic, &context, digest, &placement, &queued) {
         CheckedPlacement::Found { place, is_alone } => encode_place_reply(place, is_alone),
         CheckedPlacement::Held => PlaceReply::Held,
-        CheckedPlacement::Refused(span) => PlaceReply::Refused {
-            retry_after_ms: u64::try_from(span.as_millis()).unwrap_or(u64::MAX),
+        CheckedPlacement::Refused(retry_after) => PlaceReply::Refused {
+            retry_after_ms: u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX),
         },
     };
     WorkReply::Placed(reply)
@@ -196,23 +198,23 @@
             is_alone,
             has_permit,
         },
-        LimitedPlacement::Wait(span) => PlaceReply::Wait {
-            wait_ms: millis_u32(span),
+        LimitedPlacement::Wait(delay) => PlaceReply::Wait {
+            wait_ms: millis_u32(delay),
         },
-        LimitedPlacement::Full(span) => PlaceReply::Full {
-            retry_after_ms: millis_u32(span),
+        LimitedPlacement::Full(retry_after) => PlaceReply::Full {
+            retry_after_ms: millis_u32(retry_after),
         },
         LimitedPlacement::NoTarget => PlaceReply::NoTarget,
     }
 }
 
 fn decode_queue_entry(place_request: &PlaceRequest, now: Moment) -> QueuedRequest {
-    let span = |millis: u32| Duration::from_millis(u64::from(millis));
+    let from_millis = |millis: u32| Duration::from_millis(u64::from(millis));
     QueuedRequest {
         number: place_request.entry.number,
         ranks: place_request.entry.ranks,
-        requested_at: now.saturating_sub(span(place_request.entry.waited_ms)),
-        deadline: now + span(place_request.entry.send_deadline_ms),
+        requested_at: now.saturating_sub(from_millis(place_request.entry.waited_ms)),
+        deadline: now + from_millis(place_request.entry.send_deadline_ms),
     }
 }
 
--- a/packages/turnford-serve/src/progress.rs
+++ b/packages/turnford-serve/src/progress.rs
@@ -60,9 +60,9 @@
     let now = traffic.shared.now();
     let mut engines = context.engines.borrow_mut();
     match update {
-        RunUpdate::Started(ticket, span) => {
-            let span = Duration::from_millis(u64::from(span));
-            let slowness = engines.record_first_event(ticket, span);
+        RunUpdate::Started(ticket, elapsed_ms) => {
+            let elapsed = Duration::from_millis(u64::from(elapsed_ms));
+            let slowness = engines.record_first_event(ticket, elapsed);
             if let (Some(slowness), Some(target)) = (slowness, engines.target_of(ticket)) {
                 let mut table = context.targets.borrow_mut();
                 table.record_slowness(now, target, slowness);
--- a/packages/turnford-serve/src/release.rs
+++ b/packages/turnford-serve/src/release.rs
@@ -160,9 +160,10 @@
     handles: &[String],
 ) -> Result<(), String> {
     let host = producer.address.to_string();
-    let request = encode_release(&host, &producer.id, handles).map_err(|p| p.to_string())?;
+    let request =
+        encode_release(&host, &producer.id, handles).map_err(|error| error.to_string())?;
     let purpose = CallPurpose::Maintenance;
-    let answer = call_target(
+    let response = call_target(
         traffic,
         context,
         producer,
@@ -171,7 +172,7 @@
         RELEASE_TIMEOUT,
     )
     .await;
-    let answer = answer.map_err(|error| format!("{error:?}"))?;
-    let read = answer.collect(traffic, MAX_RESPONSE_BYTES).await;
+    let response = response.map_err(|error| format!("{error:?}"))?;
+    let read = response.collect(traffic, MAX_RESPONSE_BYTES).await;
     read.map(|_| ()).map_err(|error| format!("{error:?}"))
 }
--- a/packages/turnford-serve/src/request.rs
+++ b/packages/turnford-serve/src/request.rs
@@ -114,7 +114,7 @@
     }
     let route = find_route(view, parts)?;
     let attributes = decode_call(parts)
-        .map_err(|problem| EarlyRefusal::new(ResultCode::BadRequest, problem.to_string()))?;
+        .map_err(|error| EarlyRefusal::new(ResultCode::BadRequest, error.to_string()))?;
     let api_key = attributes.api_key.as_deref();
     let grant = api_key
         .and_then(|api_key| view.table.grant(api_key))
--- a/packages/turnford-serve/src/service_context.rs
+++ b/packages/turnford-serve/src/service_context.rs
@@ -104,10 +104,10 @@
     }
 
     /// Records the measured time of such a call.
-    pub(crate) fn record_final_call(&self, unique_tokens: u64, span: Duration) {
+    pub(crate) fn record_final_call(&self, unique_tokens: u64, elapsed: Duration) {
         self.latency_model
             .borrow_mut()
-            .observe(unique_tokens as f64, span);
+            .observe(unique_tokens as f64, elapsed);
     }
 
     /// Returns the id of a new trial at a target that is not an engine. Engines number their runs
@@ -178,8 +178,8 @@
             .unwrap_or(now)
             .saturating_sub(now);
         let pieces = u32::try_from(batch.max_pieces.max(1)).unwrap_or(u32::MAX);
-        let span = batch.call_overhead + batch.piece_time * pieces;
-        let full = batch.slots.max(1) as f64 / span.as_secs_f64().max(0.001);
+        let call_time = batch.call_overhead + batch.piece_time * pieces;
+        let full = batch.slots.max(1) as f64 / call_time.as_secs_f64().max(0.001);
         let limits = self.limits.table.borrow();
         let calls = available
             .iter()
--- a/packages/turnford-serve/src/signals.rs
+++ b/packages/turnford-serve/src/signals.rs
@@ -29,8 +29,8 @@
     attempt: Option<&str>,
     sent_at: Moment,
 ) -> TargetSignal {
-    let signal = decode_signal(parts, attempt).unwrap_or_else(|(signal, problem)| {
-        log::warn!("target={} sent an invalid backoff: {problem}", target.id);
+    let signal = decode_signal(parts, attempt).unwrap_or_else(|(signal, error)| {
+        log::warn!("target={} sent an invalid backoff: {error}", target.id);
         signal
     });
     let metrics = &traffic.shared.metrics;
@@ -64,8 +64,8 @@
     let signal = match decode_limit(parts, attempt) {
         Ok(Some(signal)) => signal,
         Ok(None) => return,
-        Err(problem) => {
-            log::warn!("target={} sent an invalid rate limit: {problem}", target.id);
+        Err(error) => {
+            log::warn!("target={} sent an invalid rate limit: {error}", target.id);
             return;
         }
     };
--- a/packages/turnford-serve/src/stages.rs
+++ b/packages/turnford-serve/src/stages.rs
@@ -95,8 +95,8 @@
 ) -> FlowForecast {
     let graph = record.stage_graph();
     accumulate_ends(&graph, |stage| {
-        let span = stage_duration(traffic, record, &graph, stage);
-        is_open(stage).then(|| span + stage_wait(traffic, record, stage))
+        let duration = stage_duration(traffic, record, &graph, stage);
+        is_open(stage).then(|| duration + stage_wait(traffic, record, stage))
     })
 }
 
@@ -116,13 +116,13 @@
 /// Computes when each stage ends. A stage starts once all its inputs are done.
 fn accumulate_ends(
     graph: &StageGraph,
-    span_of: impl Fn(usize) -> Option<Duration>,
+    duration_of: impl Fn(usize) -> Option<Duration>,
 ) -> FlowForecast {
     let mut ends = vec![Duration::ZERO; graph.len()];
     for stage in (0..graph.len()).filter(|&stage| graph.piece_count(stage) > 0) {
         let inputs = graph.inputs(stage).iter().map(|&input| ends[input]);
         let begin = inputs.max().unwrap_or(Duration::ZERO);
-        ends[stage] = span_of(stage).map_or(Duration::ZERO, |span| begin + span);
+        ends[stage] = duration_of(stage).map_or(Duration::ZERO, |duration| begin + duration);
     }
     FlowForecast { ends }
 }
