--- a/packages/turnford-serve/tests/bad_calls.rs
+++ b/packages/turnford-serve/tests/bad_calls.rs
@@ -16,9 +16,13 @@
 
 fn refused(request: ClientRequest<'_>, status: u16) {
     let (site, node) = site();
-    let answer = site.call(node, request).expect("an answer");
-    assert_eq!(answer.status, status, "{}", text(&answer));
-    assert!(text(&answer).contains(r#""ran":"no""#), "{}", text(&answer));
+    let response = site.call(node, request).expect("a response");
+    assert_eq!(response.status, status, "{}", text(&response));
+    assert!(
+        text(&response).contains(r#""ran":"no""#),
+        "{}",
+        text(&response)
+    );
     assert_eq!(site.journal.runs(), []);
 }
 
@@ -71,11 +75,11 @@
     site.store.remove("config", "main");
     site.target("b1", "booking", QUICK);
     let node = site.node_unready("one");
-    let answer = site
+    let response = site
         .call(node, ClientRequest::new("a1", "/hold/1"))
-        .expect("an answer");
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+        .expect("a response");
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     assert_eq!(site.readiness(node), 503);
     site.store.put("config", "main", common::config(2));
     common::wait_until("the node is ready", || site.readiness(node) == 200);
--- a/packages/turnford-serve/tests/common/mod.rs
+++ b/packages/turnford-serve/tests/common/mod.rs
@@ -170,16 +170,16 @@
     /// Reads the metrics at an address.
     pub(crate) fn metrics_at(&self, to: SocketAddr) -> String {
         let request = HttpClient::request(Method::GET, to, "/metrics").expect("a path");
-        let answer = async_io::block_on(self.client.send(to, request, LIMIT));
-        String::from_utf8(answer.expect("metrics").body).expect("text")
+        let response = async_io::block_on(self.client.send(to, request, LIMIT));
+        String::from_utf8(response.expect("metrics").body).expect("text")
     }
 
     /// Returns the status of a node's readiness check, as the platform sends it.
     pub(crate) fn readiness(&self, node: usize) -> u16 {
         let to = self.nodes[node].settings.ready;
         let request = HttpClient::request(Method::GET, to, "/v1/readiness").expect("a path");
-        let answer = async_io::block_on(self.client.send(to, request, LIMIT));
-        answer.expect("an answer").status
+        let response = async_io::block_on(self.client.send(to, request, LIMIT));
+        response.expect("a response").status
     }
 
     /// Waits until all nodes know each other.
@@ -342,6 +342,6 @@
 }
 
 /// Returns a response's body as text.
-pub(crate) fn text(answer: &BufferedResponse) -> String {
-    String::from_utf8(answer.body.clone()).expect("text")
+pub(crate) fn text(response: &BufferedResponse) -> String {
+    String::from_utf8(response.body.clone()).expect("text")
 }
--- a/packages/turnford-serve/tests/config_follow.rs
+++ b/packages/turnford-serve/tests/config_follow.rs
@@ -22,7 +22,7 @@
     let node = site.node("one");
     assert_eq!(
         site.call(node, ClientRequest::new("a1", "/hold/1"))
-            .expect("an answer")
+            .expect("a response")
             .status,
         200
     );
@@ -32,7 +32,7 @@
     wait_until("version 5 is in force", || version(&site, node, 5));
     assert_eq!(
         site.call(node, ClientRequest::new("a2", "/hold/1"))
-            .expect("an answer")
+            .expect("a response")
             .status,
         401
     );
@@ -69,7 +69,7 @@
     wait_until("version 10 is in force", || version(&site, node, 10));
     assert_eq!(
         site.call(node, ClientRequest::new("a1", "/hold/1"))
-            .expect("an answer")
+            .expect("a response")
             .status,
         200
     );
@@ -93,7 +93,7 @@
     }
     assert_eq!(
         site.call(second, ClientRequest::new("a1", "/hold/1"))
-            .expect("an answer")
+            .expect("a response")
             .status,
         401
     );
--- a/packages/turnford-serve/tests/crashing_requests.rs
+++ b/packages/turnford-serve/tests/crashing_requests.rs
@@ -169,8 +169,8 @@
     std::thread::sleep(Duration::from_millis(1500));
     for neighbour in 0..20 {
         let attempt = format!("again-{neighbour}");
-        let answer = send(&attempt, &format!("good-{neighbour}")).expect("an answer");
-        assert_eq!(answer.status, 200, "{}", text(&answer));
+        let response = send(&attempt, &format!("good-{neighbour}")).expect("a response");
+        assert_eq!(response.status, 200, "{}", text(&response));
     }
 }
 
@@ -187,8 +187,8 @@
             body: "what all ask",
             ..ClientRequest::new(&attempt, "/draft/1")
         };
-        let answer = site.call(client % 3, request);
-        answer.is_ok_and(|answer| answer.status == 200 && !answer.body.is_empty())
+        let response = site.call(client % 3, request);
+        response.is_ok_and(|response| response.status == 200 && !response.body.is_empty())
     };
     let failed: usize = std::thread::scope(|scope| {
         let tasks: Vec<_> = (0..clients)
@@ -225,14 +225,14 @@
             body: CRASHING,
             ..ClientRequest::new(&attempt, "/draft/1")
         };
-        let answer = site.call(node, request).expect("an answer");
-        assert_eq!(answer.status, 503);
+        let response = site.call(node, request).expect("a response");
+        assert_eq!(response.status, 503);
         assert!(
-            text(&answer).contains("crashes-targets"),
+            text(&response).contains("crashes-targets"),
             "{}",
-            text(&answer)
+            text(&response)
         );
-        assert!(answer.header("retry-after").is_some());
+        assert!(response.header("retry-after").is_some());
         assert!(started_at.elapsed() < Duration::from_millis(300));
         assert!(site.journal.requests(&attempt).is_empty());
     }
@@ -244,8 +244,8 @@
         body: CRASHING,
         ..ClientRequest::new(attempt, "/draft/1")
     };
-    let answer = site.call(node, request);
-    answer.is_ok_and(|answer| text(&answer).contains("crashes-targets"))
+    let response = site.call(node, request);
+    response.is_ok_and(|response| text(&response).contains("crashes-targets"))
 }
 
 #[test]
@@ -345,6 +345,6 @@
         body: "another",
         ..ClientRequest::new("good", "/chat/")
     };
-    let answer = site.call(0, request).expect("an answer");
-    assert_eq!(answer.status, 200, "{}", text(&answer));
+    let response = site.call(0, request).expect("a response");
+    assert_eq!(response.status, 200, "{}", text(&response));
 }
--- a/packages/turnford-serve/tests/gathered_pieces.rs
+++ b/packages/turnford-serve/tests/gathered_pieces.rs
@@ -41,8 +41,8 @@
             scope.spawn(move || {
                 let mut request = ClientRequest::new(name, "/chat/");
                 request.headers = STAGED;
-                let answer = site.call(node, request).expect("an answer");
-                assert_eq!(answer.status, 200, "{name} at node {node}");
+                let response = site.call(node, request).expect("a response");
+                assert_eq!(response.status, 200, "{name} at node {node}");
             });
         }
     });
--- a/packages/turnford-serve/tests/hopeless_requests.rs
+++ b/packages/turnford-serve/tests/hopeless_requests.rs
@@ -47,16 +47,16 @@
         });
         let attempt = format!("a{node}");
         let started_at = Instant::now();
-        let answer = std::thread::scope(|scope| {
+        let response = std::thread::scope(|scope| {
             let call = scope.spawn(|| site.call(node, staged(&attempt)));
             std::thread::sleep(Duration::from_millis(150));
             later.unpublish();
-            call.join().expect("no panic").expect("an answer")
+            call.join().expect("no panic").expect("a response")
         });
         let took = started_at.elapsed();
-        assert_eq!(answer.status, 503, "{}", text(&answer));
-        assert!(text(&answer).contains(r#""ran":"no""#));
-        let back = answer.header("retry-after").expect("a time to come back");
+        assert_eq!(response.status, 503, "{}", text(&response));
+        assert!(text(&response).contains(r#""ran":"no""#));
+        let back = response.header("retry-after").expect("a time to come back");
         let back: f64 = back.parse().expect("seconds");
         assert!((0.01..=10.0).contains(&back), "{back}");
         assert!(
@@ -73,8 +73,8 @@
     site.target("k1", "kort", FIRST_STAGE);
     site.target("s1", "sprog", ENGINE);
     let node = site.node("one");
-    let answer = site.call(node, staged("a1")).expect("an answer");
-    assert_eq!(answer.status, 503, "{}", text(&answer));
+    let response = site.call(node, staged("a1")).expect("a response");
+    assert_eq!(response.status, 503, "{}", text(&response));
     assert_eq!(site.journal.runs_of("a1"), []);
 }
 
@@ -91,6 +91,6 @@
     site.target("e1", "ejer", slow);
     site.target("s1", "sprog", ENGINE);
     let node = site.node("one");
-    let answer = site.call(node, staged("a1")).expect("an answer");
-    assert_eq!(answer.status, 200, "{}", text(&answer));
+    let response = site.call(node, staged("a1")).expect("a response");
+    assert_eq!(response.status, 200, "{}", text(&response));
 }
--- a/packages/turnford-serve/tests/leaving_answers.rs
+++ b/packages/turnford-serve/tests/leaving_answers.rs
@@ -35,8 +35,8 @@
 
 /// Sends a request to a node and returns its status.
 fn send(site: &RouteSite, node: usize, attempt: &str, path: &str) -> u16 {
-    let answer = site.call(node, ClientRequest::new(attempt, path));
-    answer.expect("an answer").status
+    let response = site.call(node, ClientRequest::new(attempt, path));
+    response.expect("a response").status
 }
 
 /// Sends requests to a node until the target has responded to one of them.
@@ -143,8 +143,8 @@
             headers: STAGED,
             ..ClientRequest::new(attempt, "/chat/1")
         };
-        let answer = site.call(node, request).expect("an answer");
-        assert_eq!(answer.status, 200, "{}", text(&answer));
+        let response = site.call(node, request).expect("a response");
+        assert_eq!(response.status, 200, "{}", text(&response));
     };
     let runs = |target: &RouteTarget| {
         let arrivals = target.arrivals().into_iter();
@@ -257,8 +257,8 @@
             headers: STAGED,
             ..ClientRequest::new(attempt, path)
         };
-        let answer = site.call(0, request).expect("an answer");
-        assert_eq!(answer.status, 503, "{}", text(&answer));
+        let response = site.call(0, request).expect("a response");
+        assert_eq!(response.status, 503, "{}", text(&response));
         assert!(
             started_at.elapsed() < REFUSAL_LIMIT,
             "{path}: {:?}",
--- a/packages/turnford-serve/tests/leaving_targets.rs
+++ b/packages/turnford-serve/tests/leaving_targets.rs
@@ -32,10 +32,10 @@
     std::thread::sleep(PROPAGATION_LIMIT);
     for number in 0..20 {
         let attempt = format!("a{number}");
-        let answer = site
+        let response = site
             .call(node, ClientRequest::new(&attempt, "/hold/1"))
-            .expect("an answer");
-        assert_eq!(answer.status, 200);
+            .expect("a response");
+        assert_eq!(response.status, 200);
         assert_eq!(site.journal.runs_of(&attempt)[0].target, "b2");
     }
 }
@@ -70,7 +70,7 @@
     std::thread::sleep(Duration::from_millis(1500));
     assert_eq!(
         site.call(node, ClientRequest::new("a1", "/hold/1"))
-            .expect("an answer")
+            .expect("a response")
             .status,
         200
     );
@@ -78,7 +78,7 @@
     std::thread::sleep(Duration::from_millis(2500));
     assert_eq!(
         site.call(node, ClientRequest::new("a2", "/hold/1"))
-            .expect("an answer")
+            .expect("a response")
             .status,
         200
     );
@@ -96,9 +96,9 @@
     site.store.put("servers", "b0", spec);
     first.unpublish();
     let node = site.node("one");
-    let answer = site
+    let response = site
         .call(node, ClientRequest::new("a1", "/hold/1"))
-        .expect("an answer");
-    assert_eq!(answer.status, 503);
+        .expect("a response");
+    assert_eq!(response.status, 503);
     assert_eq!(site.journal.runs(), []);
 }
--- a/packages/turnford-serve/tests/limited_targets.rs
+++ b/packages/turnford-serve/tests/limited_targets.rs
@@ -69,15 +69,14 @@
         }
     }
 
-    /// Sends requests to the nodes in turn for the duration of `span`, without waiting for earlier
-    /// ones.
-    fn send(self, site: &RouteSite, nodes: &[usize], span: Duration) -> Vec<Sent> {
+    /// Sends requests to the nodes in turn for `duration`, without waiting for earlier ones.
+    fn send(self, site: &RouteSite, nodes: &[usize], duration: Duration) -> Vec<Sent> {
         let sent = Mutex::new(Vec::new());
         let started_at = Instant::now();
         std::thread::scope(|scope| {
             for number in 0.. {
                 let due = Duration::from_secs_f64(f64::from(number) / self.rate);
-                if due >= span {
+                if due >= duration {
                     break;
                 }
                 std::thread::sleep((started_at + due).saturating_duration_since(Instant::now()));
@@ -105,15 +104,15 @@
             headers: &headers,
             ..ClientRequest::new(&attempt, self.path)
         };
-        let answer = site.call(node, request);
-        let retry_after = answer.as_ref().ok().and_then(|answer| {
-            let retry_after = answer.header("retry-after")?;
+        let response = site.call(node, request);
+        let retry_after = response.as_ref().ok().and_then(|response| {
+            let retry_after = response.header("retry-after")?;
             retry_after.parse().ok()
         });
         Sent {
             at,
             held: at.elapsed(),
-            status: answer.map_or(0, |answer| answer.status),
+            status: response.map_or(0, |response| response.status),
             retry_after,
         }
     }
@@ -156,7 +155,7 @@
 
 /// Asserts that the limits are used between two points in time.
 fn assert_used(targets: &[RouteTarget], rate: f64, from: Instant, until: Instant) {
-    let span = (until - from).as_secs_f64();
+    let duration_s = (until - from).as_secs_f64();
     let all: usize = targets
         .iter()
         .map(|target| {
@@ -167,10 +166,10 @@
                 .count()
         })
         .sum();
-    let least = MIN_USED_RATIO * rate * targets.len() as f64 * span;
+    let least = MIN_USED_RATIO * rate * targets.len() as f64 * duration_s;
     assert!(
         all as f64 >= least,
-        "{all} calls in {span} s, {least} at least"
+        "{all} calls in {duration_s} s, {least} at least"
     );
 }
 
@@ -364,8 +363,8 @@
         let sent = scope.spawn(move || stream.send(site, nodes, Duration::from_secs(20)));
         std::thread::sleep(Duration::from_secs(12));
         let calls = targets[0].arrivals();
-        let asked = calls.iter().filter(|call| call.at >= from).count();
-        assert!(asked >= 1, "no probe arrived");
+        let probe_count = calls.iter().filter(|call| call.at >= from).count();
+        assert!(probe_count >= 1, "no probe arrived");
         assert_kept(&targets[..1], 0.0, from);
         targets[0].announce_limit(None);
         let ended = Instant::now();
@@ -387,8 +386,8 @@
     let from = limit_all(&targets, "4");
     let stream = Stream::new("/draft/1", 30.0);
     for turn in 0..3 {
-        let span = if turn == 0 { 5 } else { 3 };
-        stream.send(&site, &nodes, Duration::from_secs(span));
+        let duration_s = if turn == 0 { 5 } else { 3 };
+        stream.send(&site, &nodes, Duration::from_secs(duration_s));
         let ended = nodes.remove(0);
         if let Some(node) = site.nodes[ended].node.take() {
             node.stop();
@@ -454,9 +453,9 @@
     let first = Stream::new("/pay/1", 50.0).send(&site, &nodes[..1], Duration::from_millis(200));
     assert!(served(&first) > 0);
     std::thread::sleep(LIMIT_GRACE);
-    let told = targets[0].arrivals().len();
+    let count_before = targets[0].arrivals().len();
     Stream::new("/pay/2", 60.0).send(&site, &nodes[1..], LIMIT_WINDOW);
-    let calls = targets[0].arrivals().len() - told;
+    let calls = targets[0].arrivals().len() - count_before;
     assert!(calls <= limit_allowance(1.0), "{calls} calls");
 }
 
--- a/packages/turnford-serve/tests/planned_stop.rs
+++ b/packages/turnford-serve/tests/planned_stop.rs
@@ -26,8 +26,8 @@
         common::wait_until("the request runs", || site.journal.runs_of("a1").len() == 1);
         let stop = scope.spawn(|| async_io::block_on(running.drain()));
         common::wait_until("the node is not ready", || site.readiness(node) == 503);
-        let answer = call.join().expect("no panic").expect("an answer");
-        assert_eq!(text(&answer).matches("data: token").count(), 20);
+        let response = call.join().expect("no panic").expect("a response");
+        assert_eq!(text(&response).matches("data: token").count(), 20);
         assert_eq!(stop.join().expect("no panic"), 0);
     });
 }
@@ -52,14 +52,14 @@
         common::wait_until("the request runs", || site.journal.runs_of("a1").len() == 1);
         let stop = scope.spawn(|| async_io::block_on(running.drain()));
         std::thread::sleep(Duration::from_millis(1500));
-        let answer = site
+        let response = site
             .call(node, ClientRequest::new("a2", "/draft/"))
-            .expect("an answer");
-        assert_eq!(answer.status, 503, "{}", text(&answer));
-        assert!(answer.header("retry-after").is_some());
+            .expect("a response");
+        assert_eq!(response.status, 503, "{}", text(&response));
+        assert!(response.header("retry-after").is_some());
         assert_eq!(site.journal.runs_of("a2"), []);
         assert_eq!(
-            first.join().expect("no panic").expect("an answer").status,
+            first.join().expect("no panic").expect("a response").status,
             200
         );
         assert_eq!(stop.join().expect("no panic"), 0);
--- a/packages/turnford-serve/tests/resting_targets.rs
+++ b/packages/turnford-serve/tests/resting_targets.rs
@@ -28,8 +28,8 @@
 
 /// Sends a request to a node and returns its status.
 fn send(site: &RouteSite, node: usize, attempt: &str, path: &str) -> u16 {
-    let answer = site.call(node, ClientRequest::new(attempt, path));
-    answer.expect("an answer").status
+    let response = site.call(node, ClientRequest::new(attempt, path));
+    response.expect("a response").status
 }
 
 fn backoff_violations(target: &RouteTarget) -> usize {
@@ -38,10 +38,10 @@
 }
 
 /// Sends a request every few milliseconds for the given time and returns the statuses.
-fn send_for(site: &RouteSite, span: Duration, path: &str) -> Vec<u16> {
+fn send_for(site: &RouteSite, duration: Duration, path: &str) -> Vec<u16> {
     let started_at = Instant::now();
     let mut statuses = Vec::new();
-    while started_at.elapsed() < span {
+    while started_at.elapsed() < duration {
         let attempt = format!("a{}", statuses.len());
         statuses.push(send(site, 0, &attempt, path));
         std::thread::sleep(Duration::from_millis(10));
@@ -75,15 +75,15 @@
     let first = site.target("b1", "booking", slow);
     site.node("one");
     std::thread::scope(|scope| {
-        let under_way = scope.spawn(|| send(&site, 0, "before", "/hold/1"));
+        let running = scope.spawn(|| send(&site, 0, "before", "/hold/1"));
         wait_until("it runs", || !site.journal.runs_of("before").is_empty());
         first.request_backoff(Duration::from_millis(2500));
         let request = ClientRequest {
             headers: &[("x-turnford-deadline-ms", "500")],
             ..ClientRequest::new("told", "/hold/1")
         };
-        assert_eq!(site.call(0, request).expect("an answer").status, 503);
-        assert_eq!(under_way.join().expect("an end"), 200);
+        assert_eq!(site.call(0, request).expect("a response").status, 503);
+        assert_eq!(running.join().expect("an end"), 200);
     });
     for number in 0..10 {
         let attempt = format!("a{number}");
@@ -91,7 +91,7 @@
             headers: &[("x-turnford-deadline-ms", "300")],
             ..ClientRequest::new(&attempt, "/hold/1")
         };
-        assert_eq!(site.call(0, request).expect("an answer").status, 503);
+        assert_eq!(site.call(0, request).expect("a response").status, 503);
         std::thread::sleep(Duration::from_millis(120));
     }
     assert_eq!(backoff_violations(&first), 0);
@@ -112,26 +112,26 @@
             scope.spawn(move || send(site, 0, &format!("told-{number}"), "/hold/1"));
         }
     });
-    let told = first.arrivals().len();
-    assert_eq!(told, 2);
+    let refused_count = first.arrivals().len();
+    assert_eq!(refused_count, 2);
     assert_eq!(send(&site, 0, "after", "/hold/1"), 200);
     assert!(started_at.elapsed() >= Duration::from_millis(2500));
-    assert!(first.arrivals().len() > told);
+    assert!(first.arrivals().len() > refused_count);
 }
 
 #[test]
 fn all_rest() {
-    // Requests that can wait for the end of the backoff are served after it. The others are told at
-    // once when to retry.
+    // Requests that can wait for the end of the backoff are served after it. The others are refused
+    // at once with the time to retry after.
     let mut site = RouteSite::new();
     let first = site.target("b1", "booking", QUICK);
     site.node("one");
     first.request_backoff(Duration::from_millis(1500));
-    let told = Instant::now();
+    let requested_at = Instant::now();
     // Its route allows one target only.
     assert_eq!(send(&site, 0, "told", "/hold/1"), 503);
     assert_eq!(send(&site, 0, "waits", "/hold/1"), 200);
-    assert!(told.elapsed() >= Duration::from_millis(1500));
+    assert!(requested_at.elapsed() >= Duration::from_millis(1500));
     assert_eq!(first.arrivals().len(), 2);
 
     first.request_backoff(Duration::from_secs(3));
@@ -140,18 +140,18 @@
             headers: &[("x-turnford-deadline-ms", "1000")],
             ..ClientRequest::new(attempt, "/hold/1")
         };
-        site.call(0, request).expect("an answer")
+        site.call(0, request).expect("a response")
     };
     assert_eq!(hasty("told-again").status, 503);
     let started_at = Instant::now();
-    let answer = hasty("refused");
-    assert_eq!(answer.status, 503, "{}", text(&answer));
+    let response = hasty("refused");
+    assert_eq!(response.status, 503, "{}", text(&response));
     assert!(
         started_at.elapsed() < IMMEDIATE,
         "{:?}",
         started_at.elapsed()
     );
-    let back = answer.header("retry-after").expect("a time to come back");
+    let back = response.header("retry-after").expect("a time to come back");
     let back: f64 = back.parse().expect("seconds");
     assert!((2.0..4.5).contains(&back), "{back}");
     assert_eq!(backoff_violations(&first), 0);
@@ -202,11 +202,11 @@
             send(&site, node, &format!("hear-{number}"), "/draft/1");
             !engines[0].arrivals().is_empty()
         });
-        let told = engines[0].arrivals().len();
+        let count_before = engines[0].arrivals().len();
         for number in 0..20 {
             assert_eq!(send(&site, node, &format!("a{number}"), "/draft/1"), 200);
         }
-        assert_eq!(engines[0].arrivals().len(), told);
+        assert_eq!(engines[0].arrivals().len(), count_before);
     }
 }
 
@@ -228,8 +228,8 @@
             headers: STAGED,
             ..ClientRequest::new(&attempt, "/chat/1")
         };
-        let answer = site.call(0, request).expect("an answer");
-        assert_eq!(answer.status, 200, "{}", text(&answer));
+        let response = site.call(0, request).expect("a response");
+        assert_eq!(response.status, 200, "{}", text(&response));
         number += 1;
     }
     assert!(!stages[0].arrivals().is_empty());
@@ -255,7 +255,7 @@
                 headers: &headers,
                 ..ClientRequest::new(attempt, "/chat/1")
             };
-            site.call(0, request).expect("an answer")
+            site.call(0, request).expect("a response")
         };
         assert_eq!(staged("before", "8000").status, 200);
         stage.request_backoff(Duration::from_secs(3));
@@ -270,8 +270,8 @@
             // The update is on its way to the admitting node.
             std::thread::sleep(Duration::from_millis(50));
             let started_at = Instant::now();
-            let answer = staged("hasty", "1500");
-            assert_eq!(answer.status, 503, "{}", text(&answer));
+            let response = staged("hasty", "1500");
+            assert_eq!(response.status, 503, "{}", text(&response));
             assert!(
                 started_at.elapsed() < IMMEDIATE,
                 "{:?}",
@@ -301,7 +301,7 @@
                     key: Some(key),
                     ..ClientRequest::new(attempt, "/hold/1")
                 };
-                assert_eq!(site.call(0, request).expect("an answer").status, 200);
+                assert_eq!(site.call(0, request).expect("a response").status, 200);
             });
             std::thread::sleep(Duration::from_millis(100));
         }
--- a/packages/turnford-serve/tests/store_drill.rs
+++ b/packages/turnford-serve/tests/store_drill.rs
@@ -85,15 +85,15 @@
 }
 
 fn send(site: &RouteSite, node: usize, attempt: &str) -> u16 {
-    let answer = site.call(node, ClientRequest::new(attempt, "/pay/1"));
-    answer.expect("an answer").status
+    let response = site.call(node, ClientRequest::new(attempt, "/pay/1"));
+    response.expect("a response").status
 }
 
-/// Sends requests to all nodes for the duration of `span`. Returns how many were not served.
-fn unserved_for(site: &RouteSite, span: Duration) -> usize {
+/// Sends requests to all nodes for `duration`. Returns how many were not served.
+fn unserved_for(site: &RouteSite, duration: Duration) -> usize {
     let started_at = Instant::now();
     let mut unserved = 0;
-    while started_at.elapsed() < span {
+    while started_at.elapsed() < duration {
         for node in 0..site.nodes.len() {
             unserved += usize::from(send(site, node, "any") != 200);
         }
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn told_by_peer() {
+fn updated_by_peer() {
     // The store rejects one node, whose knowledge is from the lost history, with a higher revision.
     let site = start_site(&["one", "two"]);
     let first = site.target("a1", "booking", QUICK);
@@ -231,42 +231,42 @@
 }
 
 #[test]
-fn gone_stays() {
+fn removed_target_stays_removed() {
     // The copy holds a target that has ended in the meantime; its entry lapses again after some
     // seconds.
     let site = start_site(&["one", "two"]);
-    let gone = site.target("a1", "booking", QUICK);
+    let removed = site.target("a1", "booking", QUICK);
     catch_up(&site, 4);
     let copy = site.store.snapshot();
-    gone.unpublish();
+    removed.unpublish();
     catch_up(&site, 5);
     std::thread::sleep(PROPAGATION_LIMIT);
     site.store.restore(copy);
-    let before = gone.arrivals().len();
+    let before = removed.arrivals().len();
     assert_eq!(unserved_for(&site, Duration::from_millis(3600)), 0);
-    gone.unpublish();
+    removed.unpublish();
     assert_eq!(unserved_for(&site, REWRITE_TIME), 0);
-    assert_eq!(gone.arrivals().len() - before, 0);
+    assert_eq!(removed.arrivals().len() - before, 0);
 }
 
 #[test]
-fn gone_but_alive() {
+fn removed_but_alive() {
     // The target is alive, and its entry stays or is rewritten: it is used again.
     for is_rewritten in [false, true] {
         let site = start_site(&["one"]);
-        let retry_after = site.target("a1", "booking", QUICK);
+        let target = site.target("a1", "booking", QUICK);
         catch_up(&site, 4);
         let copy = site.store.snapshot();
-        retry_after.unpublish();
+        target.unpublish();
         catch_up(&site, 5);
         site.store.restore(copy);
         if is_rewritten {
-            retry_after.republish_changed();
+            target.republish_changed();
         }
-        let before = retry_after.arrivals().len();
+        let before = target.arrivals().len();
         wait_until("it is used again", || {
             send(&site, 0, "any");
-            retry_after.arrivals().len() > before
+            target.arrivals().len() > before
         });
     }
 }
@@ -295,7 +295,7 @@
 
 #[test]
 fn missing_goes() {
-    // A target that does not rewrite its entry counts as gone, but not before the others had time
+    // A target that does not rewrite its entry counts as removed, but not before the others had time
     // for it.
     let (site, new) = missing_target();
     std::thread::sleep(2 * REWRITE_TIME);
--- a/packages/turnford-serve/tests/truthful_ends.rs
+++ b/packages/turnford-serve/tests/truthful_ends.rs
@@ -23,11 +23,11 @@
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
     target.inject_faults([TargetFault::Reject]);
-    let answer = site
+    let response = site
         .call(node, ClientRequest::new("a1", "/hold/1"))
-        .expect("an answer");
-    assert_eq!(answer.status, 503);
-    assert!(answer.header("retry-after").is_some());
+        .expect("a response");
+    assert_eq!(response.status, 503);
+    assert!(response.header("retry-after").is_some());
     assert_eq!(site.journal.runs(), []);
 }
 
@@ -44,16 +44,16 @@
         let node = site.node("one");
         first.inject_faults([fault.clone()]);
         second.inject_faults([fault.clone()]);
-        let answer = site
+        let response = site
             .call(node, ClientRequest::new("a1", "/hold/1"))
-            .expect("an answer");
+            .expect("a response");
         assert!(
-            matches!(answer.status, 502 | 504),
+            matches!(response.status, 502 | 504),
             "{fault:?}: {}",
-            answer.status
+            response.status
         );
-        assert!(text(&answer).contains(r#""ran":"unknown""#));
-        assert_eq!(answer.header("x-turnford-server-stamp"), None);
+        assert!(text(&response).contains(r#""ran":"unknown""#));
+        assert_eq!(response.header("x-turnford-server-stamp"), None);
         assert_eq!(site.journal.requests("a1").len(), 1, "{fault:?}");
     }
 }
@@ -74,11 +74,11 @@
         first.inject_faults([fault.clone()]);
         for attempt in ["a1", "a2"] {
             let path = format!("/pay/{attempt}");
-            let answer = site
+            let response = site
                 .call(node, ClientRequest::new(attempt, &path))
-                .expect("an answer");
+                .expect("a response");
             assert_eq!(
-                (answer.status, text(&answer)),
+                (response.status, text(&response)),
                 (200, format!("answer to {attempt}"))
             );
         }
@@ -92,11 +92,11 @@
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
     target.inject_faults([TargetFault::Fail]);
-    let answer = site
+    let response = site
         .call(node, ClientRequest::new("a1", "/hold/1"))
-        .expect("an answer");
-    assert_eq!(answer.status, 500);
-    assert_eq!(answer.header("x-turnford-server-stamp"), Some("stamp-a1"));
+        .expect("a response");
+    assert_eq!(response.status, 500);
+    assert_eq!(response.header("x-turnford-server-stamp"), Some("stamp-a1"));
     assert_eq!(site.journal.requests("a1").len(), 1);
 }
 
@@ -107,7 +107,7 @@
     let node = site.node("one");
     target.inject_faults([TargetFault::Truncate]);
     let end = site.call(node, ClientRequest::new("a1", "/draft/"));
-    assert_eq!(end.map(|answer| answer.body), Err(HttpError::Truncated));
+    assert_eq!(end.map(|response| response.body), Err(HttpError::Truncated));
 }
 
 #[test]
@@ -115,11 +115,11 @@
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
-    let answer = site
+    let response = site
         .call(node, ClientRequest::new("a1", "/draft/"))
-        .expect("an answer");
-    assert_eq!(answer.status, 503);
-    assert!(text(&answer).contains(r#""ran":"no""#));
+        .expect("a response");
+    assert_eq!(response.status, 503);
+    assert!(text(&response).contains(r#""ran":"no""#));
 }
 
 #[test]
@@ -134,11 +134,11 @@
     let mut request = ClientRequest::new("a1", "/hold/1");
     request.headers = &[("x-turnford-deadline-ms", "3000")];
     let started_at = std::time::Instant::now();
-    let answer = site.call(node, request).expect("an answer");
+    let response = site.call(node, request).expect("a response");
     let took = started_at.elapsed();
     assert_eq!(site.journal.requests("a1").len(), 1);
-    assert_eq!(answer.status, 504);
-    assert!(text(&answer).contains(r#""ran":"unknown""#));
+    assert_eq!(response.status, 504);
+    assert!(text(&response).contains(r#""ran":"unknown""#));
     assert!(
         took < TIMEOUT + Duration::from_millis(1200),
         "after {took:?}"
@@ -152,7 +152,7 @@
     let mut site = RouteSite::new();
     let target = site.target("b1", "booking", QUICK);
     let node = site.node("one");
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     for number in 0..90 {
         target.inject_faults([TargetFault::Slow(Duration::from_millis(300))]);
         let attempt = format!("a{number}");
@@ -162,12 +162,12 @@
             headers: &headers,
             ..ClientRequest::new(&attempt, "/hold/1")
         };
-        let answer = site.call(node, request).expect("an answer");
-        answers.push((attempt, answer.status));
+        let response = site.call(node, request).expect("a response");
+        responses.push((attempt, response.status));
     }
     // By then all calls that were sent have arrived.
     std::thread::sleep(Duration::from_secs(1));
-    for (attempt, status) in answers {
+    for (attempt, status) in responses {
         let runs = site.journal.requests(&attempt).len();
         match status {
             503 => assert_eq!(runs, 0, "{attempt} was reported as not run"),
@@ -180,7 +180,7 @@
 #[test]
 fn ready_serves() {
     // Many clients send requests while a node receives its configuration and targets. Each one is
-    // told that the node is not ready, or is served.
+    // refused because the node is not ready, or is served.
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let node = site.node_without_store("one");
@@ -191,13 +191,13 @@
             scope.spawn(move || {
                 for number in 0.. {
                     let attempt = format!("a{client}-{number}");
-                    let answer = site
+                    let response = site
                         .call(node, ClientRequest::new(&attempt, "/hold/1"))
-                        .expect("an answer");
-                    if answer.status == 200 {
+                        .expect("a response");
+                    if response.status == 200 {
                         break;
                     }
-                    assert!(text(&answer).contains("not-ready"), "{}", text(&answer));
+                    assert!(text(&response).contains("not-ready"), "{}", text(&response));
                 }
             });
         }
--- a/packages/turnford-serve/tests/whole_path.rs
+++ b/packages/turnford-serve/tests/whole_path.rs
@@ -16,15 +16,15 @@
     let mut site = RouteSite::new();
     site.target("b1", "booking", QUICK);
     let node = site.node("one");
-    let answer = site
+    let response = site
         .call(node, ClientRequest::new("a1", "/hold/pitch/7"))
-        .expect("an answer");
+        .expect("a response");
     assert_eq!(
-        (answer.status, text(&answer)),
+        (response.status, text(&response)),
         (200, "answer to a1".to_owned())
     );
-    assert_eq!(answer.header("x-turnford-server-stamp"), Some("stamp-a1"));
-    assert_eq!(answer.header("x-turnford-attempt-id"), Some("a1"));
+    assert_eq!(response.header("x-turnford-server-stamp"), Some("stamp-a1"));
+    assert_eq!(response.header("x-turnford-attempt-id"), Some("a1"));
     let runs = site.journal.runs_of("a1");
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].account.as_deref(), Some("skagen"));
@@ -47,7 +47,7 @@
         ("x-turnford-tenant", "fyn"),
         ("x-turnford-expect-instance", "b9"),
     ];
-    assert_eq!(site.call(node, request).expect("an answer").status, 200);
+    assert_eq!(site.call(node, request).expect("a response").status, 200);
     assert_eq!(
         site.journal.runs_of("a1")[0].account.as_deref(),
         Some("skagen")
@@ -63,9 +63,9 @@
     let node = site.node("one");
     let mut request = ClientRequest::new("a1", "/chat/");
     request.headers = STAGED;
-    let answer = site.call(node, request).expect("an answer");
-    assert_eq!(answer.status, 200);
-    let events = text(&answer);
+    let response = site.call(node, request).expect("a response");
+    assert_eq!(response.status, 200);
+    let events = text(&response);
     assert_eq!(events.matches("data: token").count(), 5, "{events}");
     let runs = site.journal.runs_of("a1");
     let second: Vec<_> = runs
@@ -90,7 +90,7 @@
     let node = site.node("one");
     let mut request = ClientRequest::new("a1", "/chat/");
     request.headers = STAGED;
-    assert_eq!(site.call(node, request).expect("an answer").status, 200);
+    assert_eq!(site.call(node, request).expect("a response").status, 200);
     let is_release = |kind: &RunKind| matches!(kind, RunKind::Release(_));
     common::wait_until("all five results are released", || {
         let runs = site.journal.runs_of("a1");
