--- a/packages/turnford-serve/tests/store_drill.rs
+++ b/packages/turnford-serve/tests/store_drill.rs
@@ -295,8 +295,8 @@
 
 #[test]
 fn missing_goes() {
-    // A target that does not rewrite its entry counts as removed, but not before the others had time
-    // for it.
+    // A target that does not rewrite its entry counts as removed, but not before the others had
+    // time for it.
     let (site, new) = missing_target();
     std::thread::sleep(2 * REWRITE_TIME);
     let before = new.arrivals().len();
