--- a/packages/turnford-config/tests/serve_settings.rs
+++ b/packages/turnford-config/tests/serve_settings.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn every_problem() {
+fn every_error() {
     let text = rendered()
         .replace("10.1.0.41:8625", "here")
         .replace("ratio = 0.2", "ratio = \"some\"")
--- a/packages/turnford-fleet/examples/crash_cost.rs
+++ b/packages/turnford-fleet/examples/crash_cost.rs
@@ -20,12 +20,12 @@
 const ROUNDS: u32 = 200;
 
 fn measure(name: &str, mut run: impl FnMut()) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..ROUNDS {
         run();
     }
-    let span = begun.elapsed() / ROUNDS;
-    println!("{name}: {:.2} us", span.as_secs_f64() * 1e6);
+    let duration = started_at.elapsed() / ROUNDS;
+    println!("{name}: {:.2} us", duration.as_secs_f64() * 1e6);
 }
 
 /// Returns the resident memory of this process in bytes.
--- a/packages/turnford-fleet/src/allocator_election.rs
+++ b/packages/turnford-fleet/src/allocator_election.rs
@@ -44,7 +44,7 @@
 pub struct AllocatorElection {
     own: AllocatorId,
     term: Option<LimitTerm>,
-    divider: Option<LimitAllocator>,
+    allocator: Option<LimitAllocator>,
 }
 
 impl AllocatorElection {
@@ -53,7 +53,7 @@
         Self {
             own,
             term: None,
-            divider: None,
+            allocator: None,
         }
     }
 
@@ -64,7 +64,7 @@
 
     /// Returns the allocator if this node holds the term.
     pub fn allocator(&mut self) -> Option<&mut LimitAllocator> {
-        self.divider.as_mut()
+        self.allocator.as_mut()
     }
 
     /// Applies a term learned from another node, and returns whether it is later than the known
@@ -74,7 +74,7 @@
         if is_later {
             self.term = Some(term.clone());
             if term.holder != self.own {
-                self.divider = None;
+                self.allocator = None;
             }
         }
         is_later
@@ -93,7 +93,7 @@
         if let Some(requester_term) = requester_term {
             self.observe_term(requester_term);
         }
-        if self.divider.is_some() {
+        if self.allocator.is_some() {
             return AllocationRole::Allocates { is_new: false };
         }
         if let Some(term) = &self.term {
@@ -125,10 +125,10 @@
             number,
             holder: self.own.clone(),
         });
-        let mut divider = LimitAllocator::new(now);
+        let mut allocator = LimitAllocator::new(now);
         for (target, born, state) in known {
-            divider.adopt(now, target, born, state);
+            allocator.adopt(now, target, born, state);
         }
-        self.divider = Some(divider);
+        self.allocator = Some(allocator);
     }
 }
--- a/packages/turnford-fleet/src/crash.rs
+++ b/packages/turnford-fleet/src/crash.rs
@@ -22,12 +22,12 @@
 use crate::crash_update::CrashPart;
 use crate::crash_update::CrashUpdate;
 use crate::crash_update::TargetProcess;
-use crate::crash_update::BEGUN_SCORE;
+use crate::crash_update::STARTED_SCORE;
 use crate::Moment;
 
-/// Score at which a request is refused: two crashes during trials that had begun to run. One is not
-/// enough, because a request that crashes targets may run next to the trial if it was sent there
-/// before it became a suspect.
+/// Score at which a request is refused: two crashes during trials that had started to run. One is
+/// not enough, because a request that crashes targets may run next to the trial if it was sent
+/// there before it became a suspect.
 const REFUSAL_SCORE: u32 = 4;
 
 /// Number of other targets whose simultaneous crash indicates a common cause. Without this rule, a
@@ -183,7 +183,7 @@
             return CrashVerdict::Clear;
         }
         if score >= REFUSAL_SCORE {
-            let doublings = (score - REFUSAL_SCORE) / BEGUN_SCORE;
+            let doublings = (score - REFUSAL_SCORE) / STARTED_SCORE;
             let until = last_crash + REFUSAL_DURATION * 2_u32.pow(doublings.min(MAX_DOUBLINGS));
             if now < until {
                 return CrashVerdict::Refused(until);
--- a/packages/turnford-fleet/src/crash_update.rs
+++ b/packages/turnford-fleet/src/crash_update.rs
@@ -3,10 +3,10 @@
 use turnford_policy::ProcessStart;
 use turnford_policy::DIGEST_BYTES;
 
-/// Score of a crash during a trial that had begun to run.
-pub(crate) const BEGUN_SCORE: u32 = 2;
+/// Score of a crash during a trial that had started to run.
+pub(crate) const STARTED_SCORE: u32 = 2;
 
-/// Score of a crash during a trial before the target showed that it had begun to run. The request
+/// Score of a crash during a trial before the target showed that it had started to run. The request
 /// may still have been queued, or it may crash its target before any sign of progress.
 const QUEUED_SCORE: u32 = 1;
 
@@ -90,7 +90,7 @@
         match self {
             CrashPart::Shared => 0,
             CrashPart::QueuedTrial => QUEUED_SCORE,
-            CrashPart::BegunTrial => BEGUN_SCORE,
+            CrashPart::BegunTrial => STARTED_SCORE,
         }
     }
 
--- a/packages/turnford-fleet/src/permit_queue.rs
+++ b/packages/turnford-fleet/src/permit_queue.rs
@@ -44,7 +44,7 @@
     pub deadline: Moment,
 }
 
-/// Answer to a request for a permit.
+/// Decision on a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitDecision {
     /// The request may be sent.
--- a/packages/turnford-fleet/tests/crash_spread.rs
+++ b/packages/turnford-fleet/tests/crash_spread.rs
@@ -101,12 +101,12 @@
     target: usize,
     started_at: u64,
     is_alone: bool,
-    has_begun: bool,
+    has_started: bool,
 }
 
 impl Run {
     fn part(&self) -> CrashPart {
-        match (self.is_alone, self.has_begun) {
+        match (self.is_alone, self.has_started) {
             (false, _) => CrashPart::Shared,
             (true, false) => CrashPart::QueuedTrial,
             (true, true) => CrashPart::BegunTrial,
@@ -284,7 +284,7 @@
             target,
             started_at: self.started_at[target],
             is_alone: alone == Some(true),
-            has_begun: false,
+            has_started: false,
         };
         self.runs.insert(self.next, run);
         self.after(1, 8, Step::Reach(self.next));
@@ -322,7 +322,7 @@
         let Some(run) = self.runs.get_mut(&number) else {
             return;
         };
-        run.has_begun = true;
+        run.has_started = true;
         let is_harmful = run.digest == HARMFUL;
         let (from, to) = if is_harmful { (20, 150) } else { (200, 1500) };
         self.after(from, to, Step::End(number));
@@ -359,7 +359,7 @@
         let Some(run) = self.runs.get(&number).cloned() else {
             return;
         };
-        if run.has_begun || run.is_alone {
+        if run.has_started || run.is_alone {
             let event = CrashEvent::Crashed {
                 target: name(run.target),
                 born: run.started_at,
@@ -446,7 +446,7 @@
     }
 
     /// Returns the time between the first and the last refusal of a request.
-    fn refusal_span(&self, digest: RequestDigest) -> Duration {
+    fn refusal_duration(&self, digest: RequestDigest) -> Duration {
         let refused = self
             .refused
             .iter()
@@ -478,7 +478,7 @@
 /// Seeds that once refused an innocent request, or a popular one for too long.
 const REGRESSION_SEEDS: [u64; 14] = [
     // Crashes next to other suspects were counted as if the request had run alone or had already
-    // begun.
+    // started.
     14_372_402_438_326_137_893,
     6_484_881_027_872_177_875,
     1_586_381_905_049_127_618,
@@ -523,7 +523,7 @@
     if let Some(rare) = refused.find(|(digest, _)| !known.contains(digest)) {
         return Err(format!("refused: {rare:?}"));
     }
-    let moment = world.refusal_span(POPULAR);
+    let moment = world.refusal_duration(POPULAR);
     if moment > MAX_REFUSAL_SPAN {
         return Err(format!("refused for {moment:?}"));
     }
--- a/packages/turnford-fleet/tests/duty_moves.rs
+++ b/packages/turnford-fleet/tests/duty_moves.rs
@@ -68,22 +68,22 @@
 
     const COUNT: usize = 880;
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut heard = vec![false; COUNT];
+    let mut is_reached = vec![false; COUNT];
     let mut fresh = vec![0];
-    heard[0] = true;
+    is_reached[0] = true;
     let mut rounds = 0;
     while !fresh.is_empty() {
         rounds += 1;
         let mut next = Vec::new();
         for _ in 0..fresh.len() * RUMOR_FANOUT {
             let peer = rng.random_range(0..COUNT);
-            if !std::mem::replace(&mut heard[peer], true) {
+            if !std::mem::replace(&mut is_reached[peer], true) {
                 next.push(peer);
             }
         }
         fresh = next;
     }
-    let reached = heard.iter().filter(|heard| **heard).count();
+    let reached = is_reached.iter().filter(|is_reached| **is_reached).count();
     assert!(
         reached >= COUNT * 90 / 100 && rounds <= 14,
         "{reached} in {rounds} rounds"
--- a/packages/turnford-fleet/tests/lease_copies.rs
+++ b/packages/turnford-fleet/tests/lease_copies.rs
@@ -307,7 +307,7 @@
 
     /// The same for arbitrarily frequent restores, if the platform reports them.
     #[test]
-    fn told_returns(seed in any::<u64>()) {
+    fn reported_restores(seed in any::<u64>()) {
         let mut world = World::new(seed);
         world.reports_restores = true;
         let end = world.play(Duration::from_secs(3), Duration::ZERO);
@@ -405,7 +405,7 @@
 /// Guards against waiting for earlier holders although the platform reports that it was never
 /// restored.
 #[test]
-fn told_never() {
+fn reported_never() {
     let mut world = ReliableWorld::new();
     world.restored_ago = Some(Duration::MAX);
     assert!(world.acquire() < Duration::from_millis(100));
--- a/packages/turnford-fleet/tests/lease_pause.rs
+++ b/packages/turnford-fleet/tests/lease_pause.rs
@@ -232,8 +232,8 @@
 }
 
 /// Steps one holder for some time with all calls succeeding.
-fn run(world: &mut World, holder: usize, span: Duration) {
-    let end = world.now + span;
+fn run(world: &mut World, holder: usize, duration: Duration) {
+    let end = world.now + duration;
     while world.now < end {
         world.apply(Event::Step {
             holder,
--- a/packages/turnford-fleet/tests/limit_division.rs
+++ b/packages/turnford-fleet/tests/limit_division.rs
@@ -180,7 +180,7 @@
                 excused_until: Moment::ZERO,
                 is_denied_until: Moment::ZERO,
             });
-            let first = world.span(0.0, 1.0);
+            let first = world.random_duration(0.0, 1.0);
             world.schedule(first, Event::Tick(number, 1));
         }
         world.schedule(Duration::ZERO, Event::Request);
@@ -190,7 +190,7 @@
         world
     }
 
-    fn span(&mut self, from: f64, to: f64) -> Duration {
+    fn random_duration(&mut self, from: f64, to: f64) -> Duration {
         Duration::from_secs_f64(self.rng.random_range(from..to))
     }
 
@@ -282,7 +282,7 @@
 
     fn request(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
-        let pause = self.span(0.0, 2.0 / self.demand);
+        let pause = self.random_duration(0.0, 2.0 / self.demand);
         self.schedule(pause, Event::Request);
         let now = self.now;
         let state = &self.nodes[node];
@@ -297,7 +297,7 @@
     }
 
     fn send_call(&mut self, node: usize) {
-        let delay = self.span(0.0005, 0.004);
+        let delay = self.random_duration(0.0005, 0.004);
         self.schedule(delay, Event::AtTarget(node, self.now));
     }
 
@@ -308,7 +308,7 @@
             .is_some_and(|at| at + INFORMED_DELAY <= self.now);
         let counts = is_informed && state.excused_until <= self.now;
         self.arrivals.push((self.now, node, counts));
-        let work = self.span(0.001, 0.3);
+        let work = self.random_duration(0.001, 0.3);
         let event = Event::CallDone(node, self.nodes[node].process, self.signal(), sent);
         self.schedule(work, event);
     }
@@ -527,7 +527,7 @@
             }
             Answer::Wait(wait) => self.nodes[node].is_denied_until = now + wait,
             Answer::Elsewhere(term) => {
-                self.note_term(node, &term);
+                self.observe_term(node, &term);
                 self.nodes[node].down.remove(&number_of(&term.holder));
                 self.request_permit(node, attempts + 1);
             }
@@ -551,9 +551,9 @@
         let process = self.nodes[to].process;
         for _ in 0..copies {
             let delay = if self.has_faults && self.rng.random_bool(0.03) {
-                self.span(0.02, 0.4)
+                self.random_duration(0.02, 0.4)
             } else {
-                self.span(0.0005, 0.005)
+                self.random_duration(0.0005, 0.005)
             };
             self.schedule(delay, Event::Arrive(from, to, process, message.clone()));
         }
@@ -590,7 +590,7 @@
                 }
             }
             Message::Update(term, entries) => {
-                let is_later = self.note_term(to, &term);
+                let is_later = self.observe_term(to, &term);
                 let is_of_term = self.nodes[to].election.term() == Some(&term);
                 if is_of_term && (self.take_entries(to, &entries) || is_later) {
                     self.forward(to, entries);
@@ -618,7 +618,7 @@
         }
     }
 
-    fn note_term(&mut self, node: usize, term: &LimitTerm) -> bool {
+    fn observe_term(&mut self, node: usize, term: &LimitTerm) -> bool {
         let state = &mut self.nodes[node];
         let is_later = state.election.observe_term(term);
         if is_later {
@@ -652,7 +652,7 @@
 
     /// Injects a fault into a random node, preferably into an allocator.
     fn inject_fault(&mut self) {
-        let pause = self.span(0.3, 4.0);
+        let pause = self.random_duration(0.3, 4.0);
         self.schedule(pause, Event::Fault);
         let count = self.nodes.len();
         let allocators: Vec<usize> = (0..count)
@@ -666,32 +666,32 @@
             return;
         }
         let now = self.now;
-        let span = self.span(0.1, 5.0);
+        let duration = self.random_duration(0.1, 5.0);
         match self.rng.random_range(0..4) {
             0 => {
                 self.nodes[node].is_up = false;
                 self.nodes[node].process += 1;
-                self.schedule(span, Event::Start(node));
-                self.extend_excuse(node, span);
+                self.schedule(duration, Event::Start(node));
+                self.extend_excuse(node, duration);
             }
             1 => {
-                self.nodes[node].suspended_until = now + span;
-                self.extend_excuse(node, span);
+                self.nodes[node].suspended_until = now + duration;
+                self.extend_excuse(node, duration);
             }
             2 => {
-                self.nodes[node].disconnected_until = now + span;
-                self.extend_excuse(node, span);
+                self.nodes[node].disconnected_until = now + duration;
+                self.extend_excuse(node, duration);
             }
             _ => {
                 self.nodes[node].is_stopping = true;
-                self.extend_excuse(node, span + Duration::from_secs(8));
-                self.schedule(span, Event::Start(node));
+                self.extend_excuse(node, duration + Duration::from_secs(8));
+                self.schedule(duration, Event::Start(node));
             }
         }
     }
 
-    fn extend_excuse(&mut self, node: usize, span: Duration) {
-        let until = self.now + span + EXCUSE_PERIOD;
+    fn extend_excuse(&mut self, node: usize, duration: Duration) {
+        let until = self.now + duration + EXCUSE_PERIOD;
         let state = &mut self.nodes[node];
         state.excused_until = state.excused_until.max(until);
     }
@@ -768,11 +768,11 @@
         let mut world = World::new(seed, false);
         world.run();
         let from = LIMITED_FROM + PROPAGATION_TIME;
-        let span = (END - from).as_secs_f64();
+        let duration = (END - from).as_secs_f64();
         let calls = world.calls_between(from, END) as f64;
         // Allows for one burst, and for permits granted before the interval and used within it.
-        let most = world.rate * (span + PERMIT_LIFETIME.as_secs_f64()) + 2.0;
-        let least = 0.8 * world.rate * span;
+        let most = world.rate * (duration + PERMIT_LIFETIME.as_secs_f64()) + 2.0;
+        let least = 0.8 * world.rate * duration;
         prop_assert!(calls <= most, "{calls} of {most} at {} a second", world.rate);
         prop_assert!(calls >= least.floor(), "{calls} of {least} at {} a second", world.rate);
     }
--- a/packages/turnford-fleet/tests/limit_words.rs
+++ b/packages/turnford-fleet/tests/limit_words.rs
@@ -19,12 +19,12 @@
     "e1".into()
 }
 
-/// Returns the signal in the response to a call sent at `sent` that took `span`.
-fn observation(rate: Option<f64>, sent: Duration, span: Duration) -> LimitObservation {
+/// Returns the signal in the response to a call sent at `sent` that took `duration`.
+fn observation(rate: Option<f64>, sent: Duration, duration: Duration) -> LimitObservation {
     LimitObservation {
         signal: rate.map_or(LimitSignal::Unlimited, LimitSignal::Rate),
         sent_at: sent,
-        received_at: sent + span,
+        received_at: sent + duration,
     }
 }
 
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn older_word() {
+fn older_signal() {
     // A signal that was received before the lifting call was sent does not restore the limit.
     let mut allocator = allocator();
     observe(&mut allocator, observation(Some(1.0), START, 50 * MS));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn crossing_words() {
+fn crossing_signals() {
     // If the order of two observations is unclear, the stricter one holds.
     for rates in [(Some(2.0), Some(5.0)), (Some(5.0), Some(2.0))] {
         let mut allocator = allocator();
--- a/packages/turnford-fleet/tests/member_heal.rs
+++ b/packages/turnford-fleet/tests/member_heal.rs
@@ -71,8 +71,8 @@
         true
     }
 
-    fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             for number in 0..self.tables.len() {
                 if !self.down.contains(&number) {
@@ -212,10 +212,10 @@
     world.ping(1, 2);
     world.down.insert(1);
     world.run(Duration::from_secs(3));
-    let gone = world.tables[4]
+    let state = world.tables[4]
         .get("node-001")
         .map(|record| record.update.state);
-    assert_eq!(gone, Some(MemberState::Left));
+    assert_eq!(state, Some(MemberState::Left));
 }
 
 #[test]
--- a/packages/turnford-fleet/tests/turn_line.rs
+++ b/packages/turnford-fleet/tests/turn_line.rs
@@ -13,12 +13,12 @@
 /// Time at which the initial state no longer has any influence.
 const START: Duration = Duration::from_secs(100);
 
-fn ask(number: u64, rank: u8, begun: Duration, timeout: Duration) -> QueuedRequest {
+fn ask(number: u64, rank: u8, start: Duration, timeout: Duration) -> QueuedRequest {
     QueuedRequest {
         number,
         ranks: (rank, 0),
-        requested_at: begun,
-        deadline: begun + timeout,
+        requested_at: start,
+        deadline: start + timeout,
     }
 }
 
--- a/packages/turnford-node/src/control/context.rs
+++ b/packages/turnford-node/src/control/context.rs
@@ -102,9 +102,9 @@
         self.duty_holder(duty) == *self.state.settings.name
     }
 
-    /// Returns a random duration between 0.5 and 1.5 times `span`, so that nodes don't act in
+    /// Returns a random duration between 0.5 and 1.5 times `duration`, so that nodes don't act in
     /// unison.
-    pub(super) fn jitter(&self, span: std::time::Duration) -> std::time::Duration {
-        span.mul_f64(rand::rng().random_range(0.5..1.5))
+    pub(super) fn jitter(&self, duration: std::time::Duration) -> std::time::Duration {
+        duration.mul_f64(rand::rng().random_range(0.5..1.5))
     }
 }
--- a/packages/turnford-node/src/control/members.rs
+++ b/packages/turnford-node/src/control/members.rs
@@ -342,11 +342,11 @@
         let now = context.now();
         let dead: Vec<String> = {
             let members = context.members.borrow();
-            let gone = members.all().filter(|record| {
+            let removable = members.all().filter(|record| {
                 let dead = record.update.state >= MemberState::Dead;
                 dead && now.saturating_sub(record.since) > SWEEP_INTERVAL
             });
-            gone.map(|record| record.update.name.clone()).collect()
+            removable.map(|record| record.update.name.clone()).collect()
         };
         for name in dead {
             remove_record(&context, &name).await;
--- a/packages/turnford-node/src/control/peers.rs
+++ b/packages/turnford-node/src/control/peers.rs
@@ -13,12 +13,12 @@
 /// Serves the internal protocol for as long as the node runs.
 pub(super) async fn serve_peers(context: Rc<ControlContext>, listener: TcpListener) {
     let executor = context.executor.clone();
-    let handler = move |request| answer(context.clone(), request);
+    let handler = move |request| handle_request(context.clone(), request);
     let refusal = || PeerReply::Refused;
     accept_peers(listener, executor, CancelPolicy::Finish, refusal, handler).await;
 }
 
-async fn answer(context: Rc<ControlContext>, request: PeerRequest) -> PeerReply {
+async fn handle_request(context: Rc<ControlContext>, request: PeerRequest) -> PeerReply {
     match request {
         PeerRequest::Ping { gossip, digest, .. } => {
             super::members::handle_ping(&context, gossip, digest)
--- a/packages/turnford-node/src/control/shares.rs
+++ b/packages/turnford-node/src/control/shares.rs
@@ -54,7 +54,7 @@
     demands: HashMap<String, f64>,
     measured_at: Moment,
     fetched_at: HashMap<String, Moment>,
-    answered: [bool; ACCOUNT_GROUP_COUNT as usize],
+    granted: [bool; ACCOUNT_GROUP_COUNT as usize],
 }
 
 impl ShareTable {
@@ -66,7 +66,7 @@
             demands: HashMap::new(),
             measured_at: Moment::ZERO,
             fetched_at: HashMap::new(),
-            answered: [false; ACCOUNT_GROUP_COUNT as usize],
+            granted: [false; ACCOUNT_GROUP_COUNT as usize],
         }
     }
 
@@ -175,8 +175,8 @@
     for group in 0..ACCOUNT_GROUP_COUNT {
         let mut accounts = config.accounts.values();
         let first = accounts.find(|account| account_group(&account.name) == group);
-        let answered = context.shares.borrow().answered[usize::from(group)];
-        let Some(account) = first.filter(|_| !answered) else {
+        let granted = context.shares.borrow().granted[usize::from(group)];
+        let Some(account) = first.filter(|_| !granted) else {
             continue;
         };
         waiting = true;
@@ -287,7 +287,7 @@
     let mut table = context.shares.borrow_mut();
     // A lender that still collects demands, or has nothing to lend yet, grants no concurrency and
     // doesn't make a starting node ready.
-    table.answered[usize::from(group)] |= grants.iter().any(|grant| grant.size.concurrency > 0);
+    table.granted[usize::from(group)] |= grants.iter().any(|grant| grant.size.concurrency > 0);
     let state = &mut table.groups[usize::from(group)];
     state.contact = now;
     state.stamp = stamp;
--- a/packages/turnford-node/src/node.rs
+++ b/packages/turnford-node/src/node.rs
@@ -118,7 +118,7 @@
         self.state.ready.load(Ordering::SeqCst)
     }
 
-    /// Returns whether a graceful shutdown has begun.
+    /// Returns whether a graceful shutdown has started.
     pub fn is_draining(&self) -> bool {
         self.state.draining.load(Ordering::SeqCst)
     }
--- a/packages/turnford-node/src/outcome.rs
+++ b/packages/turnford-node/src/outcome.rs
@@ -63,15 +63,15 @@
     }
 
     /// Sets the time after which a retry is likely to be accepted.
-    pub(crate) fn retry_after(mut self, span: Duration) -> Self {
-        self.retry_after = Some(span);
+    pub(crate) fn retry_after(mut self, duration: Duration) -> Self {
+        self.retry_after = Some(duration);
         self
     }
 
     /// Encodes the outcome as JSON. The final event of a stream omits the output, which the client
     /// already has.
     pub(crate) fn json(&self, trace: AttemptId, with_output: bool) -> Vec<u8> {
-        let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+        let millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
         let body = OutcomeBody {
             code: self.code.number(),
             name: self.code.name(),
@@ -95,8 +95,8 @@
         response.insert_header("content-type", "application/json");
         response.insert_header("turnford-code", self.code.number().to_string());
         response.insert_header("turnford-trace", trace.to_string());
-        if let Some(span) = self.retry_after {
-            let seconds = span.as_secs_f64().ceil().max(1.0);
+        if let Some(duration) = self.retry_after {
+            let seconds = duration.as_secs_f64().ceil().max(1.0);
             response.insert_header("retry-after", format!("{seconds:.0}"));
         }
         response
--- a/packages/turnford-policy/src/route/call.rs
+++ b/packages/turnford-policy/src/route/call.rs
@@ -25,7 +25,7 @@
     pub last_event_id: Option<u64>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Maximum length of the answer, in tokens.
+    /// Maximum length of the output, in tokens.
     pub max_output_tokens: u64,
     /// Segments of the prompt, the most widely shared one first.
     pub segments: Vec<PromptSegment>,
--- a/packages/turnford-policy/src/route/config.rs
+++ b/packages/turnford-policy/src/route/config.rs
@@ -55,7 +55,7 @@
     pub kind: CallKind,
     /// Maximum time that a request is held.
     pub timeout: Duration,
-    /// Latency within which an answer is in time. For streams, until the first event.
+    /// Latency within which a response is in time. For streams, until the first event.
     pub latency_objective: Duration,
     /// Maximum gap between events of a stream that is in time.
     pub gap_objective: Option<Duration>,
@@ -139,7 +139,7 @@
 pub struct EngineSpec {
     /// Number of concurrent requests.
     pub slots: u32,
-    /// Cache for prompts and answers, in tokens.
+    /// Cache for prompts and outputs, in tokens.
     pub cache_tokens: u64,
 }
 
--- a/packages/turnford-policy/src/route/engine.rs
+++ b/packages/turnford-policy/src/route/engine.rs
@@ -67,7 +67,7 @@
     pub segments: Vec<PromptSegment>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Maximum length of the answer, in tokens.
+    /// Maximum length of the output, in tokens.
     pub max_output_tokens: u64,
     /// Bytes of the request's inputs in each hall.
     pub inputs: Vec<(Arc<str>, u64)>,
--- a/packages/turnford-policy/src/route/gate.rs
+++ b/packages/turnford-policy/src/route/gate.rs
@@ -1,4 +1,4 @@
-//! Whether a target takes calls of this node, according to its answers.
+//! Whether a target takes calls of this node, according to its responses.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 /// State that a target announced, and the resulting limit on this node's calls.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TargetGate {
-    /// When the target last announced that it is leaving, or was last probed without an answer that
-    /// it stays.
+    /// When the target last announced that it is leaving, or was last probed without a response
+    /// that it stays.
     last_leaving_at: Option<Moment>,
     /// End of the backoff for this node.
     backoff_until: Moment,
@@ -89,7 +89,7 @@
         !self.is_backing_off(now) && self.call_limit.is_none_or(|limit| calls <= limit)
     }
 
-    /// Records a successful answer of a target with this number of slots.
+    /// Records a successful response of a target with this number of slots.
     pub(super) fn record_success(&mut self, now: Moment, slots: u32) {
         if self.is_backing_off(now) {
             return;
--- a/packages/turnford-policy/src/route/limit_signal.rs
+++ b/packages/turnford-policy/src/route/limit_signal.rs
@@ -1,11 +1,11 @@
-//! Rate limit named in a target's answer.
+//! Rate limit named in a target's response.
 
 use std::fmt;
 
 /// Calls per second.
 pub type CallRate = f64;
 
-/// Rate limit named in a target's answer, for the calls of all nodes together.
+/// Rate limit named in a target's response, for the calls of all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitSignal {
     /// No limit is named.
--- a/packages/turnford-policy/src/route/limit_table.rs
+++ b/packages/turnford-policy/src/route/limit_table.rs
@@ -48,7 +48,7 @@
         missing.retain(|id, _| views.contains_key(id));
     }
 
-    /// Records the limit that a target's answer to this node named. Returns the previous state if
+    /// Records the limit that a target's response to this node named. Returns the previous state if
     /// the allocator should be informed.
     pub fn observe(
         &mut self,
--- a/packages/turnford-policy/src/route/limit_view.rs
+++ b/packages/turnford-policy/src/route/limit_view.rs
@@ -33,16 +33,16 @@
     }
 }
 
-/// A target's limit signal and the interval in which it was given. Answers may overtake each other:
-/// one signal is known to be newer only if its call was sent after the answer with the other was
-/// received.
+/// A target's limit signal and the interval in which it was given. Responses may overtake each
+/// other: one signal is known to be newer only if its call was sent after the response with the
+/// other was received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitObservation {
-    /// Limit named in the answer.
+    /// Limit named in the response.
     pub signal: LimitSignal,
     /// When the call was sent.
     pub sent_at: Moment,
-    /// When its answer was received.
+    /// When its response was received.
     pub received_at: Moment,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Records the signal of an answer to this node. Returns true if the allocator should be
+    /// Records the signal of a response to this node. Returns true if the allocator should be
     /// informed.
     pub(super) fn observe(&mut self, observation: LimitObservation) -> bool {
         if self.state.matches(observation.signal) {
--- a/packages/turnford-policy/src/route/target_record.rs
+++ b/packages/turnford-policy/src/route/target_record.rs
@@ -10,7 +10,7 @@
 /// Half-life of the load that a target reported.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(400);
 
-/// Load that a target reported with an answer.
+/// Load that a target reported with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSample {
     /// Running requests.
@@ -28,7 +28,7 @@
     pub(super) spec: TargetSpec,
     /// Whether its store entry says that it is leaving.
     pub(super) is_listed_leaving: bool,
-    /// State that it announced in its answers.
+    /// State that it announced in its responses.
     pub(super) gate: TargetGate,
     /// Calls of this node in flight.
     pub(super) inflight: u32,
--- a/packages/turnford-policy/tests/common/mod.rs
+++ b/packages/turnford-policy/tests/common/mod.rs
@@ -9,7 +9,7 @@
 /// Returns the configuration of a property test with a number of cases.
 ///
 /// For long runs, `TURNFORD_CASES` overrides the number of cases and `TURNFORD_SEED` the seed.
-pub(crate) fn histories(cases: u32) -> Config {
+pub(crate) fn proptest_config(cases: u32) -> Config {
     let number = |name: &str| {
         std::env::var(name)
             .ok()
--- a/packages/turnford-policy/tests/pool_rules.rs
+++ b/packages/turnford-policy/tests/pool_rules.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::histories;
+use common::proptest_config;
 use proptest::prelude::*;
 use turnford_policy::HealthState;
 use turnford_policy::LoadReport;
@@ -106,7 +106,7 @@
 }
 
 proptest! {
-    #![proptest_config(histories(2000))]
+    #![proptest_config(proptest_config(2000))]
 
     #[test]
     fn counted_right(events in prop::collection::vec(event(), 1..150)) {
--- a/packages/turnford-policy/tests/retry_window.rs
+++ b/packages/turnford-policy/tests/retry_window.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::histories;
+use common::proptest_config;
 use proptest::prelude::*;
 use turnford_policy::RetryAllowance;
 
@@ -34,7 +34,7 @@
 }
 
 proptest! {
-    #![proptest_config(histories(200))]
+    #![proptest_config(proptest_config(200))]
 
     #[test]
     fn never_exceeded(steps in prop::collection::vec(step(), 1..150)) {
--- a/packages/turnford-policy/tests/store_eras.rs
+++ b/packages/turnford-policy/tests/store_eras.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::histories;
+use common::proptest_config;
 use proptest::prelude::*;
 use turnford_policy::Moment;
 use turnford_policy::StorePosition;
@@ -523,12 +523,12 @@
         ],
     ];
     for steps in histories_that_failed {
-        run_history(steps.clone()).unwrap_or_else(|fault| panic!("{fault}: {steps:?}"));
+        run_history(steps.clone()).unwrap_or_else(|error| panic!("{error}: {steps:?}"));
     }
 }
 
 proptest! {
-    #![proptest_config(histories(3000))]
+    #![proptest_config(proptest_config(3000))]
 
     /// After any history, a node that reaches the store again knows its contents within seconds,
     /// and no announcement of a process was lost.
--- a/packages/turnford-policy/tests/target_list.rs
+++ b/packages/turnford-policy/tests/target_list.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn lapse_told() {
+fn lapse_learned() {
     // A node that learns of a lapsed target from another one removes it at the same time.
     let mut first = TargetList::default();
     first.put(target(1, false));
--- a/packages/turnford-policy/tests/target_words.rs
+++ b/packages/turnford-policy/tests/target_words.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::histories;
+use common::proptest_config;
 use proptest::prelude::*;
 use turnford_policy::Moment;
 use turnford_policy::ProcessStart;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn rest_holds() {
+fn backoff_holds() {
     let mut table = table(&target(7, 0, false));
     table.record_start("b1");
     table.record_backoff(SECOND, "b1", 7, 3 * SECOND);
@@ -228,7 +228,7 @@
 }
 
 proptest! {
-    #![proptest_config(histories(2000))]
+    #![proptest_config(proptest_config(2000))]
 
     /// A process that announced that it is leaving is never open again, unless it announces that it
     /// is active or its store entry was missing in between.
--- a/packages/turnford-standin/src/balancer.rs
+++ b/packages/turnford-standin/src/balancer.rs
@@ -66,12 +66,12 @@
 
     async fn check(&self, number: usize, client: &HttpClient) {
         let (node, ready) = &self.nodes[number];
-        let answer = match HttpClient::request(Method::GET, *node, "/readyz") {
+        let response = match HttpClient::request(Method::GET, *node, "/readyz") {
             Ok(request) => client.send(*node, request, CHECK_TIMEOUT).await,
             Err(error) => Err(error),
         };
         ready.store(
-            answer.is_ok_and(|answer| answer.status == 200),
+            response.is_ok_and(|response| response.status == 200),
             Ordering::Relaxed,
         );
     }
--- a/packages/turnford-standin/src/load.rs
+++ b/packages/turnford-standin/src/load.rs
@@ -245,16 +245,16 @@
         first_token: None,
         started: plan.started,
     };
-    let mut answer = Err(HttpError::NotConnected);
+    let mut response = Err(HttpError::NotConnected);
     for node in balancer.order() {
-        answer = exchange(client, node, &plan, &mut record).await;
+        response = exchange(client, node, &plan, &mut record).await;
         // Only a request that was certainly not sent may be sent to another node.
-        if !matches!(answer, Err(HttpError::NotConnected)) {
+        if !matches!(response, Err(HttpError::NotConnected)) {
             break;
         }
     }
     record.latency = plan.due.elapsed();
-    if let Ok(body) = answer {
+    if let Ok(body) = response {
         record.code = Some(body.code);
         record.is_complete = body.code < 100;
         record.is_own = mark_of(&body.output) == plan.mark;
@@ -287,8 +287,8 @@
         request.insert_header("accept", "text/event-stream");
         return read_events(client, node, plan, request, timeout, record).await;
     }
-    let answer = client.send(node, request, timeout).await?;
-    serde_json::from_slice(&answer.body).map_err(|_| HttpError::Disconnected)
+    let response = client.send(node, request, timeout).await?;
+    serde_json::from_slice(&response.body).map_err(|_| HttpError::Disconnected)
 }
 
 /// Reads server-sent events up to the last one, which carries the result code.
@@ -333,7 +333,7 @@
         .map_err(|error| format!("journal: {error}"))?;
     request.insert_header("connection", "close");
     let timeout = Duration::from_secs(30);
-    let answer = client.send_large(control, request, timeout).await;
-    let answer = answer.map_err(|error| format!("journal: {error}"))?;
-    serde_json::from_slice(&answer.body).map_err(|error| format!("journal: {error}"))
+    let response = client.send_large(control, request, timeout).await;
+    let response = response.map_err(|error| format!("journal: {error}"))?;
+    serde_json::from_slice(&response.body).map_err(|error| format!("journal: {error}"))
 }
--- a/packages/turnford-standin/src/objects.rs
+++ b/packages/turnford-standin/src/objects.rs
@@ -84,14 +84,14 @@
         }
         let key = call.path.strip_prefix("/objects/").map(str::to_owned);
         let has_key = key.is_some();
-        let mut answer = self.answer(&call, key).await?;
+        let mut response = self.dispatch(&call, key).await?;
         if has_key {
-            answer.insert_header("object-restored-ms", self.restored_text());
+            response.insert_header("object-restored-ms", self.restored_text());
         }
-        Some(answer)
+        Some(response)
     }
 
-    async fn answer(&self, call: &BufferedRequest, key: Option<String>) -> Option<HttpResponse> {
+    async fn dispatch(&self, call: &BufferedRequest, key: Option<String>) -> Option<HttpResponse> {
         match (call.method.as_str(), key) {
             ("GET", Some(key)) => Some(self.get(&key)),
             ("PUT", Some(key)) => self.write(call, |store, expected| {
--- a/packages/turnford-standin/src/route/meta.rs
+++ b/packages/turnford-standin/src/route/meta.rs
@@ -166,12 +166,12 @@
     }
 
     async fn handle(&self, endpoint: usize, call: BufferedRequest) -> Option<HttpResponse> {
-        let mut answer = self.answer(endpoint, call).await?;
-        answer.insert_header("store-era", self.lock().era.to_string());
-        Some(answer)
+        let mut response = self.dispatch(endpoint, call).await?;
+        response.insert_header("store-era", self.lock().era.to_string());
+        Some(response)
     }
 
-    async fn answer(&self, endpoint: usize, call: BufferedRequest) -> Option<HttpResponse> {
+    async fn dispatch(&self, endpoint: usize, call: BufferedRequest) -> Option<HttpResponse> {
         let state = {
             let mut state = self.lock();
             state.calls[endpoint] += 1;
@@ -192,7 +192,7 @@
             Some((kind, name)) => (kind.to_owned(), Some(name.to_owned())),
             None => (path, None),
         };
-        let answer = match (call.method.as_str(), name) {
+        let response = match (call.method.as_str(), name) {
             ("GET", None) if call.query("watch").is_some() => self.watch(&kind, &call).await,
             ("GET", None) => self.list(&kind, call.query("after_revision").unwrap_or("")),
             ("GET", Some(name)) => self.get(&kind, &name),
@@ -204,7 +204,7 @@
             }
             _ => HttpResponse::new(StatusCode::NOT_FOUND),
         };
-        Some(answer)
+        Some(response)
     }
 
     fn list(&self, kind: &str, after: &str) -> HttpResponse {
@@ -235,8 +235,8 @@
         let wait = Duration::from_millis(call.query_number("wait_ms", 0));
         let started_at = Instant::now();
         loop {
-            if let Some(answer) = self.changes_since(kind, from, started_at.elapsed() >= wait) {
-                return answer;
+            if let Some(response) = self.changes_since(kind, from, started_at.elapsed() >= wait) {
+                return response;
             }
             Timer::after(WATCH_POLL_INTERVAL).await;
         }
@@ -344,8 +344,8 @@
 }
 
 pub(super) fn json_response(status: StatusCode, body: &Value) -> HttpResponse {
-    let mut answer = HttpResponse::new(status);
-    answer.insert_header("content-type", "application/json");
-    answer.set_body(body.to_string());
-    answer
+    let mut response = HttpResponse::new(status);
+    response.insert_header("content-type", "application/json");
+    response.set_body(body.to_string());
+    response
 }
--- a/packages/turnford-standin/src/route/piece.rs
+++ b/packages/turnford-standin/src/route/piece.rs
@@ -62,8 +62,8 @@
         let body: Value = serde_json::from_slice(&call.body).ok()?;
         let items = body["items"].as_array()?.clone();
         let fault = self.next_fault();
-        if let Some(answer) = fault.as_ref().and_then(rejection_for) {
-            return Some(answer);
+        if let Some(response) = fault.as_ref().and_then(rejection_for) {
+            return Some(response);
         }
         let number = self.calls.fetch_add(1, Ordering::SeqCst);
         if self.slot.recv().await.is_err() {
--- a/packages/turnford-standin/src/route/signals.rs
+++ b/packages/turnford-standin/src/route/signals.rs
@@ -122,12 +122,12 @@
     }
 
     /// Adds the headers of the target's signals to a response.
-    pub(super) fn add_headers(&self, answer: &mut HttpResponse) {
+    pub(super) fn add_headers(&self, response: &mut HttpResponse) {
         if self.is_leaving() {
-            answer.insert_header("server-leaving", "1");
+            response.insert_header("server-leaving", "1");
         }
         if let Some(limit) = lock(&self.limit).as_deref() {
-            answer.insert_header("server-limit", limit);
+            response.insert_header("server-limit", limit);
         }
     }
 }
--- a/packages/turnford-standin/src/route/target.rs
+++ b/packages/turnford-standin/src/route/target.rs
@@ -340,20 +340,20 @@
             .header("x-turnford-expect-instance")
             .is_some_and(|id| id != self.id)
         {
-            let mut answer = HttpResponse::new(StatusCode::MISDIRECTED_REQUEST);
-            answer.insert_header("x-turnford-instance-id", self.id.as_str());
-            return Some(answer);
+            let mut response = HttpResponse::new(StatusCode::MISDIRECTED_REQUEST);
+            response.insert_header("x-turnford-instance-id", self.id.as_str());
+            return Some(response);
         }
         let backoff = self.signals.record_arrival(&call);
-        let mut answer = match backoff {
+        let mut response = match backoff {
             Some(backoff) => rejection_with_backoff(&backoff),
-            None => self.answer(&call).await?,
+            None => self.dispatch(&call).await?,
         };
-        self.signals.add_headers(&mut answer);
-        Some(answer)
+        self.signals.add_headers(&mut response);
+        Some(response)
     }
 
-    async fn answer(self: &Arc<Self>, call: &BufferedRequest) -> Option<HttpResponse> {
+    async fn dispatch(self: &Arc<Self>, call: &BufferedRequest) -> Option<HttpResponse> {
         match call.path.as_str() {
             "/health" => Some(self.health()),
             "/v1/report" => {
@@ -372,9 +372,9 @@
         } else {
             StatusCode::OK
         };
-        let mut answer = HttpResponse::new(status);
-        answer.insert_header("x-turnford-instance-id", self.id.as_str());
-        answer
+        let mut response = HttpResponse::new(status);
+        response.insert_header("x-turnford-instance-id", self.id.as_str());
+        response
     }
 
     pub(super) fn next_fault(&self) -> Option<TargetFault> {
@@ -404,11 +404,11 @@
             .unwrap_or("")
             .to_owned();
         let fault = self.next_fault();
-        if let Some(answer) = fault.as_ref().and_then(rejection_for) {
+        if let Some(response) = fault.as_ref().and_then(rejection_for) {
             if matches!(fault, Some(TargetFault::Backoff(_))) {
                 Timer::after(REJECTION_DELAY).await;
             }
-            return Some(answer);
+            return Some(response);
         }
         let crashes = self.crashes_on(call);
         let run = RouteRun {
@@ -418,29 +418,29 @@
         let index = self.journal.add(run);
         if crashes {
             self.crash_soon();
-            return self.unfinished_answer(&attempt).await;
+            return self.unfinished_response(&attempt).await;
         }
         if let Some(TargetFault::Slow(more)) = fault {
             Timer::after(more).await;
         }
-        let mut answer = match self.role {
+        let mut response = match self.role {
             TargetRole::Engine {
                 first_event,
                 event_gap,
                 events,
             } => {
                 Timer::after(first_event).await;
-                self.event_answer(
+                self.event_response(
                     index,
                     event_gap,
                     events,
                     fault == Some(TargetFault::Truncate),
                 )
             }
-            TargetRole::Plain(span) => {
-                Timer::after(span).await;
+            TargetRole::Plain(duration) => {
+                Timer::after(duration).await;
                 self.journal.record_end(index);
-                plain_answer(&attempt, fault.as_ref())
+                plain_response(&attempt, fault.as_ref())
             }
             TargetRole::Stage { .. } => HttpResponse::new(StatusCode::NOT_FOUND),
         };
@@ -453,29 +453,29 @@
             attempt.as_str()
         };
         if fault == Some(TargetFault::InvalidLoad) {
-            answer.insert_header("x-turnford-server-load", "much");
+            response.insert_header("x-turnford-server-load", "much");
         }
-        answer.insert_header("x-turnford-attempt-id", response_attempt);
-        answer.insert_header("x-turnford-server-stamp", format!("stamp-{attempt}"));
-        Some(answer)
+        response.insert_header("x-turnford-attempt-id", response_attempt);
+        response.insert_header("x-turnford-server-stamp", format!("stamp-{attempt}"));
+        Some(response)
     }
 
     /// Starts the response to a request that crashes the target: an engine sends the headers only.
-    async fn unfinished_answer(&self, attempt: &str) -> Option<HttpResponse> {
+    async fn unfinished_response(&self, attempt: &str) -> Option<HttpResponse> {
         let TargetRole::Engine { first_event, .. } = self.role else {
             Timer::after(UNRESPONSIVE_TIME).await;
             return None;
         };
         Timer::after(first_event).await;
-        let mut answer = HttpResponse::new(StatusCode::OK);
-        answer.insert_header("content-type", "text/event-stream");
-        answer.insert_header("x-turnford-attempt-id", attempt);
-        answer.insert_header("x-turnford-server-stamp", format!("stamp-{attempt}"));
-        answer.set_body(HttpBody::stream(stream::pending()));
-        Some(answer)
+        let mut response = HttpResponse::new(StatusCode::OK);
+        response.insert_header("content-type", "text/event-stream");
+        response.insert_header("x-turnford-attempt-id", attempt);
+        response.insert_header("x-turnford-server-stamp", format!("stamp-{attempt}"));
+        response.set_body(HttpBody::stream(stream::pending()));
+        Some(response)
     }
 
-    fn event_answer(
+    fn event_response(
         &self,
         index: usize,
         pause: Duration,
@@ -497,14 +497,14 @@
                 Some((event.into_bytes(), number + 1))
             }
         });
-        let mut answer = HttpResponse::new(StatusCode::OK);
-        answer.insert_header("content-type", "text/event-stream");
+        let mut response = HttpResponse::new(StatusCode::OK);
+        response.insert_header("content-type", "text/event-stream");
         if is_truncated {
-            answer.set_body(HttpBody::truncated("id: 1\ndata: token 1\n\nid: 2\nda"));
+            response.set_body(HttpBody::truncated("id: 1\ndata: token 1\n\nid: 2\nda"));
         } else {
-            answer.set_body(HttpBody::stream(events));
+            response.set_body(HttpBody::stream(events));
         }
-        answer
+        response
     }
 }
 
@@ -519,19 +519,19 @@
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn plain_answer(attempt: &str, fault: Option<&TargetFault>) -> HttpResponse {
+fn plain_response(attempt: &str, fault: Option<&TargetFault>) -> HttpResponse {
     if fault == Some(&TargetFault::Fail) {
         return HttpResponse::new(StatusCode::INTERNAL_SERVER_ERROR);
     }
     let text = format!("answer to {attempt}");
-    let mut answer = HttpResponse::new(StatusCode::OK);
+    let mut response = HttpResponse::new(StatusCode::OK);
     if fault == Some(&TargetFault::Truncate) {
-        answer.insert_header("content-length", text.len().to_string());
-        answer.set_body(HttpBody::truncated(&text.as_bytes()[..text.len() / 2]));
+        response.insert_header("content-length", text.len().to_string());
+        response.set_body(HttpBody::truncated(&text.as_bytes()[..text.len() / 2]));
     } else {
-        answer.set_body(text);
+        response.set_body(text);
     }
-    answer
+    response
 }
 
 /// Returns the response to a call that a fault rejects, `None` for other faults.
@@ -544,13 +544,13 @@
 }
 
 fn rejection_with_backoff(backoff: &str) -> HttpResponse {
-    let mut answer = rejection();
-    answer.insert_header("retry-after", backoff);
-    answer
+    let mut response = rejection();
+    response.insert_header("retry-after", backoff);
+    response
 }
 
 fn rejection() -> HttpResponse {
-    let mut answer = HttpResponse::new(StatusCode::SERVICE_UNAVAILABLE);
-    answer.insert_header("x-turnford-not-run", "1");
-    answer
+    let mut response = HttpResponse::new(StatusCode::SERVICE_UNAVAILABLE);
+    response.insert_header("x-turnford-not-run", "1");
+    response
 }
--- a/packages/turnford-standin/src/target.rs
+++ b/packages/turnford-standin/src/target.rs
@@ -208,15 +208,15 @@
         slot.is_complete = true;
         let body = &slot.body;
         let output = format!("{}({})", self.entry.service, body.input);
-        let answer = json!({
+        let response_body = json!({
             "attempt": self.response_id(&body.attempt),
             "output": output,
             "tokens": body.max_tokens,
             "cached": cached,
         });
-        let mut response = json_response(&answer);
+        let mut response = json_response(&response_body);
         if self.fault(FaultKind::Truncate).is_some() {
-            let text = answer.to_string();
+            let text = response_body.to_string();
             let half = text.as_bytes()[..text.len() / 2].to_vec();
             response.set_body(HttpBody::truncated(half));
             response.insert_header("content-length", text.len().to_string());
@@ -335,7 +335,7 @@
     fn report_now(&self) -> HttpResponse {
         let mut report = lock(&self.report);
         let age = report.0.elapsed();
-        let answer = json!({
+        let response_body = json!({
             "running": report.1,
             "queued": report.2,
             "age_ms": age.as_millis() as u64,
@@ -347,7 +347,7 @@
             let queued = self.queued.load(Ordering::SeqCst);
             *report = (Instant::now(), running, queued);
         }
-        json_response(&answer)
+        json_response(&response_body)
     }
 
     fn order(&self, call: &BufferedRequest) -> HttpResponse {
--- a/packages/turnford-standin/tests/load_audit.rs
+++ b/packages/turnford-standin/tests/load_audit.rs
@@ -48,12 +48,12 @@
     let second = store
         .put("a", Some(first), b"two".to_vec())
         .expect("the version fits");
-    let gone = store.delete("a", Some(second)).expect("the version fits");
+    let deleted = store.delete("a", Some(second)).expect("the version fits");
     let again = store
         .put("a", Some(0), b"three".to_vec())
         .expect("the object is new");
     assert!(
-        first < second && second < gone && gone < again,
+        first < second && second < deleted && deleted < again,
         "versions rise over deletes"
     );
     let changes = store.changes("a", second).expect("the changes are kept");
--- a/packages/turnford/src/command/demo.rs
+++ b/packages/turnford/src/command/demo.rs
@@ -171,10 +171,10 @@
     request.insert_header("authorization", format!("Bearer key-{account}"));
     request.insert_header("turnford-request-id", format!("demo-{number}"));
     request.set_body(format!("mark:demo-{number} {text}"));
-    let answer = client.send(address, request, REQUEST_TIMEOUT).await;
-    let answer = answer.map_err(|error| format!("{template}: {error}"))?;
+    let response = client.send(address, request, REQUEST_TIMEOUT).await;
+    let response = response.map_err(|error| format!("{template}: {error}"))?;
     let value: Value =
-        serde_json::from_slice(&answer.body).map_err(|error| format!("{template}: {error}"))?;
+        serde_json::from_slice(&response.body).map_err(|error| format!("{template}: {error}"))?;
     println!("  {account} asks {template}: {text}");
     for stage in value["stages"].as_array().into_iter().flatten() {
         println!(
@@ -196,7 +196,7 @@
         "    code {} ({}), answer: {output}",
         value["code"], value["name"]
     );
-    if answer.status != 200 {
+    if response.status != 200 {
         return Err(format!("{template}: {}", value["message"]));
     }
     Ok(())
--- a/packages/turnford/src/command/node.rs
+++ b/packages/turnford/src/command/node.rs
@@ -32,9 +32,9 @@
     let file = arguments.config.display().to_string();
     let settings = match NodeSettings::parse(&file, &text) {
         Ok(settings) => settings,
-        Err(problems) => {
-            for problem in problems {
-                eprintln!("{problem}");
+        Err(errors) => {
+            for error in errors {
+                eprintln!("{error}");
             }
             return ExitStatus::Failed;
         }
--- a/packages/turnford/src/command/object.rs
+++ b/packages/turnford/src/command/object.rs
@@ -34,9 +34,9 @@
         };
         match checked {
             Ok(kind) => println!("{}: {kind}, valid", path.display()),
-            Err(problems) => {
+            Err(errors) => {
                 failed = true;
-                print_problems(&problems);
+                print_errors(&errors);
             }
         }
     }
@@ -160,16 +160,16 @@
     let name = path.display().to_string();
     match ConfigObject::parse(&name, &text) {
         Ok(object) => Some(CheckedFile { name, text, object }),
-        Err(problems) => {
-            print_problems(&problems);
+        Err(errors) => {
+            print_errors(&errors);
             None
         }
     }
 }
 
-fn print_problems(problems: &[ConfigError]) {
-    for problem in problems {
-        eprintln!("{problem}");
+fn print_errors(errors: &[ConfigError]) {
+    for error in errors {
+        eprintln!("{error}");
     }
 }
 
--- a/packages/turnford/src/command/remote.rs
+++ b/packages/turnford/src/command/remote.rs
@@ -16,8 +16,8 @@
 /// Prints a node's status.
 pub(super) fn show_status(node: SocketAddr) -> ExitStatus {
     match call_node(node, Method::GET, "/status") {
-        Ok(answer) => {
-            let value: Option<serde_json::Value> = serde_json::from_slice(&answer.body).ok();
+        Ok(response) => {
+            let value: Option<serde_json::Value> = serde_json::from_slice(&response.body).ok();
             match value.and_then(|value| serde_json::to_string_pretty(&value).ok()) {
                 Some(text) => {
                     println!("{text}");
@@ -33,11 +33,11 @@
 /// Starts a node's planned stop.
 pub(super) fn start_drain(node: SocketAddr) -> ExitStatus {
     match call_node(node, Method::POST, "/drain") {
-        Ok(answer) if answer.status == 202 => {
+        Ok(response) if response.status == 202 => {
             println!("{node}: planned stop started");
             ExitStatus::Success
         }
-        Ok(answer) => fail(node, &format!("status {}", answer.status)),
+        Ok(response) => fail(node, &format!("status {}", response.status)),
         Err(error) => fail(node, &error.to_string()),
     }
 }
--- a/packages/turnford/src/command/routes.rs
+++ b/packages/turnford/src/command/routes.rs
@@ -52,19 +52,19 @@
         let request = call.request(to, &attempt);
         let request = request.map_err(|error| error.to_string())?;
         let started_at = Instant::now();
-        let answer = client.send(to, request, TIMEOUT).await;
-        let answer = answer.map_err(|error| format!("{}: {error}", call.name))?;
+        let response = client.send(to, request, TIMEOUT).await;
+        let response = response.map_err(|error| format!("{}: {error}", call.name))?;
         println!(
             "  {} at node {}: status {}, {} bytes, {:.0} ms",
             call.name,
             number % NODE_COUNT,
-            answer.status,
-            answer.body.len(),
+            response.status,
+            response.body.len(),
             started_at.elapsed().as_secs_f64() * 1000.0
         );
         show_runs(&site, &attempt);
-        if answer.status != 200 {
-            return Err(format!("{}: status {}", call.name, answer.status));
+        if response.status != 200 {
+            return Err(format!("{}: status {}", call.name, response.status));
         }
     }
     for node in nodes {
--- a/packages/turnford/src/command/serve.rs
+++ b/packages/turnford/src/command/serve.rs
@@ -73,9 +73,9 @@
     let text = super::read_file(path)?;
     match ServeSettings::parse(&path.display().to_string(), &text) {
         Ok(settings) => Some(settings),
-        Err(problems) => {
-            for problem in problems {
-                eprintln!("{problem}");
+        Err(errors) => {
+            for error in errors {
+                eprintln!("{error}");
             }
             None
         }
--- a/packages/turnford/src/site.rs
+++ b/packages/turnford/src/site.rs
@@ -121,8 +121,8 @@
 
 async fn apply_files(objects: &ObjectClient, files: &[SiteFile]) -> Result<(), String> {
     for file in files {
-        let object = ConfigObject::parse(&file.name, &file.text).map_err(|problems| {
-            let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
+        let object = ConfigObject::parse(&file.name, &file.text).map_err(|errors| {
+            let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
             lines.join("\n")
         })?;
         let request = ChangeRequest {
--- a/packages/turnford/tests/live_changes.rs
+++ b/packages/turnford/tests/live_changes.rs
@@ -276,7 +276,7 @@
         async_io::Timer::after(Duration::from_millis(100)).await;
     };
     async_io::block_on(futures_lite::future::or(post, leave));
-    async_io::block_on(wait_until("the engine was told", || {
+    async_io::block_on(wait_until("the engine was notified", || {
         let runs = site.runs("sprog", "mark:gone");
         runs.first().is_some_and(|run| !run.whole)
     }));
