--- a/packages/turnford-target/src/error.rs
+++ b/packages/turnford-target/src/error.rs
@@ -59,10 +59,10 @@
             TargetError::Full => "the target is full",
             TargetError::Leaving => "the target is leaving",
             TargetError::Failed => "the target failed",
-            TargetError::Disconnected => "the connection to the target was lost",
-            TargetError::Timeout => "no response from the target in time",
-            TargetError::AttemptMismatch => "the response belongs to another attempt",
-            TargetError::Malformed => "malformed response of the target",
+            TargetError::Disconnected => "the connection broke",
+            TargetError::Timeout => "no answer in time",
+            TargetError::AttemptMismatch => "the answer belongs to another attempt",
+            TargetError::Malformed => "the answer can't be read",
         };
         f.write_str(text)
     }
